--- a/internal/batch/replica/accept.go
+++ b/internal/batch/replica/accept.go
@@ -10,28 +10,29 @@
 	"sprucelane.example/sprucelane/internal/protocol"
 )
 
-// How is a batch job accepted?
+// This file contains the acceptance of batch jobs, from the submission to its acknowledgement.
 
-// acceptTimeout is for how long a submission waits for a majority of the arbiters and for capacity. Clients
-// try elsewhere after it.
+// acceptTimeout limits how long a submission waits for a majority of the arbiters and for capacity. Clients try
+// another store after it.
 const acceptTimeout = 2500 * time.Millisecond
 
-// acceptance is a batch job that is about to be accepted. Nothing of it is written yet.
+// acceptance is a batch job that is being accepted. Nothing of it has been written yet.
 type acceptance struct {
 	content     *job.Content
 	attempt     uint64 // number of this attempt
 	calls       []parkedCall
 	votes       map[placement.Key]ReservationResponse // of the present epoch, by arbiter
-	requestedAt time.Duration                         // when votes were requested last; 0 for never
+	requestedAt time.Duration                         // when votes were last requested; 0 for never
 	deadline    time.Duration
 	tokens      int64         // of all items
-	capacity    capacityState // within the limit of the account
+	capacity    capacityState // whether the tokens fit within the limit of the account
 }
 
-// startAcceptance begins to accept a batch job that isn't known here. A store whose log is incomplete accepts none
-// until all members have reconciled: it may hold the batch job without knowing. The arbiters would let it, as they
-// take it for the owner, or gave it their votes before its restart in the same epoch, and what was shown would be
-// listed anew.
+// startAcceptance begins to accept a batch job that isn't known here.
+//
+// A store whose log is incomplete accepts no batch job until all members have reconciled, because it may have held
+// the batch job without knowing. The arbiters would not prevent it: they regard this store as the owner, or gave it
+// their votes before its restart in the same epoch. Results that were already shown would then be listed anew.
 func (m *StateMachine) startAcceptance(p parkedCall) {
 	id := p.call.BatchJob
 	if a := m.acceptances[id]; a != nil {
@@ -68,7 +69,8 @@
 	m.requestReservations(id, a)
 }
 
-// canStore reports whether there are enough stores for a batch job, and enough disk here.
+// canStore reports whether there are enough active stores for a batch job, and whether this store has enough disk
+// space and stores fewer than Options.MaxJobs.
 func (m *StateMachine) canStore(p parkedCall) bool {
 	if len(placement.ActiveMembers(m.view)) < m.options.ReplicationFactor {
 		return false
@@ -79,7 +81,7 @@
 	return m.env.FreeBytes()-int64(len(p.call.Body)) > m.options.MinFreeBytes
 }
 
-// redirectToActive sends a submission to a store that accepts batch jobs.
+// redirectToActive redirects a submission to another active store.
 func (m *StateMachine) redirectToActive(p parkedCall) {
 	for _, other := range placement.Rank(p.call.BatchJob, placement.ActiveMembers(m.view)) {
 		if placement.KeyOf(other) != m.self {
@@ -90,8 +92,8 @@
 	m.answer(p.callID, unavailable())
 }
 
-// finishAccepting writes a batch job that no other store holds, or rejects it if its account has no capacity
-// for it. It waits until that is known.
+// finishAccepting writes a batch job that no other store holds, or rejects it if its account has no capacity for it.
+// It does nothing while the capacity is unknown.
 func (m *StateMachine) finishAccepting(a *acceptance) {
 	id := a.content.ID
 	switch a.capacity {
@@ -108,8 +110,8 @@
 	}
 }
 
-// writeAccepted writes a batch job here and to the other replicas. From here on a failure doesn't promise
-// that it wasn't accepted.
+// writeAccepted writes a batch job here and sends it to the other replicas once it is durable. Once it is written,
+// a failure no longer promises that the batch job wasn't accepted.
 func (m *StateMachine) writeAccepted(a *acceptance) {
 	id := a.content.ID
 	kept := []protocol.Process{m.options.Self}
@@ -129,11 +131,11 @@
 		m.maybeCommit(j)
 	})
 	contentAt, _ := locateCopy(record, at)
-	made, err := newStoredJob(content, contentAt)
+	decoded, err := newStoredJob(content, contentAt)
 	if err != nil {
 		panic("replica: an encoded batch job can't be read: " + err.Error())
 	}
-	*j = *made
+	*j = *decoded
 	j.content = content
 	j.owned = true
 	j.setReplicas(version, replicas, m.self)
@@ -147,8 +149,8 @@
 	m.announceOwner(id, m.self)
 }
 
-// yieldAcceptance gives up an acceptance, and sends its calls to the store that holds the batch job or
-// continues to accept it.
+// yieldAcceptance ends an acceptance, and redirects its calls to the store that holds the batch job or continues to
+// accept it.
 func (m *StateMachine) yieldAcceptance(owner placement.Key, id string, a *acceptance) {
 	delete(m.acceptances, id)
 	m.releaseReservations(id, a.attempt)
@@ -165,21 +167,21 @@
 	}
 }
 
-// rejectCalls answers an acceptance's calls that it was not accepted.
+// rejectCalls answers an acceptance's calls that the batch job was not accepted.
 func (m *StateMachine) rejectCalls(a *acceptance) {
 	for _, p := range a.calls {
 		m.answer(p.callID, unavailable())
 	}
 }
 
-// resubmit answers a submission of a batch job that is owned here already.
+// resubmit handles a submission of a batch job that is already owned here.
 func (m *StateMachine) resubmit(j *storedJob, p parkedCall) {
 	j.pendingSubmissions = append(j.pendingSubmissions, p.callID)
 	m.acknowledgeSubmissions(j)
 }
 
-// acknowledgeSubmissions answers 202 once a batch job is on all disks of its set and its tokens are within
-// the account's limit.
+// acknowledgeSubmissions answers 202 to all waiting submissions, once the batch job is on all disks of its replica
+// set and its tokens are within the account's limit.
 func (m *StateMachine) acknowledgeSubmissions(j *storedJob) {
 	if !j.replicated || m.mayExceedLimit(j) {
 		return
@@ -190,7 +192,7 @@
 	j.pendingSubmissions = nil
 }
 
-// acceptanceIDs lists the batch jobs that are being accepted, in a fixed order.
+// acceptanceIDs returns the ids of the batch jobs that are being accepted, sorted.
 func (m *StateMachine) acceptanceIDs() []string {
 	if len(m.acceptances) == 0 {
 		return nil
--- a/internal/batch/replica/accounted.go
+++ b/internal/batch/replica/accounted.go
@@ -7,31 +7,34 @@
 	"sprucelane.example/sprucelane/internal/batch/wal"
 )
 
-// Which findings of the log need no further account?
+// This file keeps track of the findings in the log that have been accounted for and don't make the log incomplete any
+// more.
 //
 // A finding that may hide batch jobs makes the log incomplete (StateMachine.incompleteLog) until all members have
-// reconciled with that known: what it held is known again by then, or lost. But it stays in its segment, and each start
-// finds it again. So the places of findings that have been accounted for are recorded with the view. Damage that comes
-// about later is at another place, also in a segment from before, and counts.
+// reconciled with that known: by then the batch jobs that it hid are known again, or lost. But the finding stays in its
+// segment, and is found again at each start. Therefore the places of accounted findings are written to the view record.
+// Later damage counts, because it is at another place, even if it is in an older segment.
 
-// findingPlace is where in the log a finding is.
+// findingPlace is the place of a finding in the log.
 type findingPlace struct{ segment, offset uint32 }
 
-// maxAccountedFindings bounds what is recorded. A log with more findings counts as incomplete after each start.
+// maxAccountedFindings limits the number of places in a view record. A log with more findings counts as incomplete
+// after each start.
 const maxAccountedFindings = 64
 
-// accountedFindings is the findings of this start that may hide batch jobs, and those that were accounted for.
+// accountedFindings contains the places of the findings in the replayed log that may hide batch jobs (hiding), and the
+// places that have been accounted for, from the newest view record or since close (accounted).
 type accountedFindings struct {
 	hiding    []findingPlace
 	accounted map[findingPlace]bool
 }
 
-// note takes in a finding of this start that may hide batch jobs.
-func (a *accountedFindings) note(at wal.Location) {
+// add records a finding of the replayed log that may hide batch jobs.
+func (a *accountedFindings) add(at wal.Location) {
 	a.hiding = append(a.hiding, findingPlace{segment: at.Segment, offset: at.Offset})
 }
 
-// open reports whether some finding hasn't been accounted for.
+// open reports whether a finding of the replayed log has not been accounted for.
 func (a *accountedFindings) open() bool {
 	for _, place := range a.hiding {
 		if !a.accounted[place] {
@@ -41,7 +44,7 @@
 	return false
 }
 
-// close notes that all findings of this start are accounted for.
+// close marks all findings of the replayed log as accounted for.
 func (a *accountedFindings) close() {
 	a.accounted = map[findingPlace]bool{}
 	for _, place := range a.hiding {
@@ -49,7 +52,8 @@
 	}
 }
 
-// appendTo encodes the findings that this start found again or accounted for.
+// appendTo appends the encoded places of the findings that are in the log and accounted for, at most
+// maxAccountedFindings.
 func (a *accountedFindings) appendTo(out []byte) []byte {
 	var list []findingPlace
 	for _, place := range a.hiding {
@@ -65,7 +69,7 @@
 	return out
 }
 
-// read takes in what appendTo has written, in place of what an earlier record said.
+// read decodes the places that appendTo wrote. They replace those of an earlier record.
 func (a *accountedFindings) read(r *job.Decoder) {
 	a.accounted = map[findingPlace]bool{}
 	for count := r.Uvarint(); count > 0 && !r.Failed; count-- {
--- a/internal/batch/replica/calls.go
+++ b/internal/batch/replica/calls.go
@@ -10,16 +10,16 @@
 	"sprucelane.example/sprucelane/internal/protocol"
 )
 
-// Which store answers a client's call, and which calls wait?
+// This file dispatches clients' calls: a call is answered here, redirected to another store, or waits.
 
 const (
-	// parkTimeout is for how long a call waits until this store is certain of its answer.
+	// parkTimeout limits how long a call waits until this store is certain of its answer.
 	parkTimeout = 900 * time.Millisecond
 	// retryAfter is the Retry-After of calls that can't be answered now.
 	retryAfter = 250 * time.Millisecond
 )
 
-// parkedCall waits until this store knows enough to answer it.
+// parkedCall is a call that waits until this store knows enough to answer it.
 type parkedCall struct {
 	callID     CallID
 	call       protocol.BatchCall
@@ -28,7 +28,7 @@
 	deadline   time.Duration
 }
 
-// Call takes a client's call; its answer comes through Environment.Answer. Items are those of a submission.
+// Call handles a client's call. The answer is given through Environment.Answer. items is set for submissions only.
 func (m *StateMachine) Call(id CallID, call protocol.BatchCall, items []job.Item) {
 	if !m.MayAct() {
 		m.answer(id, unavailable())
@@ -38,36 +38,36 @@
 	m.dispatch(parkedCall{callID: id, call: call, items: items, receivedAt: now, deadline: now + parkTimeout})
 }
 
-// CancelCall drops a call that nobody waits for any more.
+// CancelCall drops a call whose client doesn't wait for the answer any more.
 func (m *StateMachine) CancelCall(id CallID) {
 	m.parkedCalls = slices.DeleteFunc(m.parkedCalls, func(p parkedCall) bool { return p.callID == id })
 }
 
-// answer ends a call.
+// answer answers a call, which ends it.
 func (m *StateMachine) answer(id CallID, answer protocol.BatchAnswer) { m.env.Answer(id, answer) }
 
-// accepted says that the batch job is on all disks of its replica set.
+// accepted returns the answer that the batch job is on all disks of its replica set.
 func accepted() protocol.BatchAnswer { return protocol.BatchAnswer{Status: http.StatusAccepted} }
 
-// unavailable promises that nothing was done.
+// unavailable returns the answer that the call had no effect and should be retried.
 func unavailable() protocol.BatchAnswer {
 	return protocol.BatchAnswer{Status: http.StatusServiceUnavailable, RetryAfterMs: int(retryAfter.Milliseconds())}
 }
 
-// overLimit promises that nothing was done: the batch job doesn't fit within its account's limit now.
+// overLimit returns the answer that the call had no effect: the batch job doesn't fit within its account's limit now.
 func overLimit() protocol.BatchAnswer {
 	return protocol.BatchAnswer{Status: http.StatusTooManyRequests, RetryAfterMs: int(overLimitRetry.Milliseconds())}
 }
 
-// outcomeUnknown promises nothing.
+// outcomeUnknown returns the answer that promises nothing: the call may or may not have taken effect.
 func outcomeUnknown() protocol.BatchAnswer {
 	return protocol.BatchAnswer{Status: http.StatusGatewayTimeout}
 }
 
-// notFound says that the batch job doesn't exist, for this tenant.
+// notFound returns the answer that the batch job doesn't exist for this tenant.
 func notFound() protocol.BatchAnswer { return protocol.BatchAnswer{Status: http.StatusNotFound} }
 
-// dispatch answers a call, sends it to another store or has it wait.
+// dispatch answers a call, redirects it to another store or parks it.
 func (m *StateMachine) dispatch(p parkedCall) {
 	j := m.jobs[p.call.BatchJob]
 	switch {
@@ -100,7 +100,8 @@
 	}
 }
 
-// dispatchNotOwned deals with a call for a batch job that isn't owned here.
+// dispatchNotOwned redirects or parks a call for a batch job that isn't owned here. A submission of a batch job that
+// isn't stored here starts an acceptance.
 func (m *StateMachine) dispatchNotOwned(p parkedCall) {
 	id := p.call.BatchJob
 	if owner, known := m.owners[id]; known && owner != m.self {
@@ -119,7 +120,7 @@
 	}
 }
 
-// park has a call wait.
+// park makes a call wait until its deadline. A call that is past its deadline is answered at once.
 func (m *StateMachine) park(p parkedCall) {
 	if m.env.Now() >= p.deadline {
 		m.expireCall(p)
@@ -128,7 +129,8 @@
 	m.parkedCalls = append(m.parkedCalls, p)
 }
 
-// expireCall answers a call whose time is over. A submission may have been accepted by another store.
+// expireCall answers a call that is past its deadline. The outcome of a submission is unknown, as another store may
+// have accepted the batch job.
 func (m *StateMachine) expireCall(p parkedCall) {
 	if p.call.Operation == protocol.BatchSubmit {
 		m.answer(p.callID, outcomeUnknown())
@@ -137,7 +139,7 @@
 	m.answer(p.callID, unavailable())
 }
 
-// expireCalls ends calls and acceptances whose time is over.
+// expireCalls ends calls and acceptances that are past their deadlines.
 func (m *StateMachine) expireCalls(now time.Duration) {
 	waiting := m.parkedCalls
 	m.parkedCalls = nil
@@ -185,7 +187,7 @@
 	}
 }
 
-// redirectPending sends all that waits for a batch job to its owner.
+// redirectPending redirects all calls that wait for a batch job to its owner.
 func (m *StateMachine) redirectPending(j *storedJob) {
 	waiting := j.pendingReads
 	j.pendingReads = nil
@@ -206,7 +208,8 @@
 	j.pendingSubmissions, j.pendingEnds = nil, nil
 }
 
-// ownerAnswer names the owner of a batch job that isn't owned here.
+// ownerAnswer returns the answer that names the owner of a batch job that isn't owned here, or outcomeUnknown if the
+// owner isn't known.
 func (m *StateMachine) ownerAnswer(id string) protocol.BatchAnswer {
 	if member, present := placement.MemberOf(m.view, m.owners[id]); present && m.owners[id] != m.self {
 		return protocol.BatchAnswer{Owner: member.IP}
--- a/internal/batch/replica/claimcounter.go
+++ b/internal/batch/replica/claimcounter.go
@@ -6,9 +6,10 @@
 	"sprucelane.example/sprucelane/internal/protocol"
 )
 
-// Has an account capacity for a batch job? The counter's side.
+// This file contains the side of the counter, which grants capacity of accounts to stores; claims.go has the side of
+// the stores that claim it.
 
-// handleClaim applies, as counter, a store's claim.
+// handleClaim applies a store's claim to the accounts that are counted here.
 func (m *StateMachine) handleClaim(from placement.Key, message Claim) {
 	m.claims.counter.Apply(from, message.Claim)
 	if !message.Wants() {
@@ -17,7 +18,7 @@
 	m.answerWaitingClaims()
 }
 
-// sendClaimResponse answers a claim, which may be of this store itself.
+// sendClaimResponse answers a claim, which may be one of this store itself.
 func (m *StateMachine) sendClaimResponse(store placement.Key, answer ClaimResponse) {
 	if store == m.self {
 		m.handleClaimResponse(m.self, answer)
@@ -28,8 +29,7 @@
 	}
 }
 
-// answerWaitingClaims answers what stores want of the accounts that are counted here, once all members have
-// claimed.
+// answerWaitingClaims decides the requests for tokens in claims and answers them, once all members have claimed.
 func (m *StateMachine) answerWaitingClaims() {
 	waiting := m.claims.counter.Pending()
 	if len(waiting) == 0 || !m.allMembersClaimed() || !m.MayAct() {
@@ -46,8 +46,8 @@
 	}
 }
 
-// accountsOverLimit lists the accounts that a store uses and that are over their limits. Until all members
-// have claimed, every account may be.
+// accountsOverLimit lists the accounts that a store uses and that may be over their limits. Until all members have
+// claimed, that is every account that the store uses.
 func (m *StateMachine) accountsOverLimit(store placement.Key) []queuedtokens.Account {
 	uncertain := !m.allMembersClaimed()
 	var list []queuedtokens.Account
@@ -63,7 +63,8 @@
 	return list
 }
 
-// allMembersClaimed reports whether all members have claimed in this epoch, and polls those that have not.
+// allMembersClaimed reports whether all members have claimed in this epoch. It polls those that have not, at most every
+// claimRetry.
 func (m *StateMachine) allMembersClaimed() bool {
 	if !m.claims.counter.HasClaimed(m.self) {
 		if !m.knowsOwnJobs() {
--- a/internal/batch/replica/claims.go
+++ b/internal/batch/replica/claims.go
@@ -9,27 +9,28 @@
 	"sprucelane.example/sprucelane/internal/batch/queuedtokens"
 )
 
-// Has an account capacity for a batch job? The store's side.
+// This file contains the side of a store that claims capacity for its batch jobs; claimcounter.go has the side of the
+// store that grants it.
 //
-// An account is a tenant's batch jobs on a route; its queued tokens are limited over all stores
-// (internal/batch/queuedtokens). One store, the account's counter, grants capacity. Before a batch job is
-// written, the store has capacity for it: within what the counter granted already, or by a new claim. What it
-// inherits from other stores it uses without asking; the next claim includes it, and the counter grants
-// nothing until enough is finished. A new view begins with nothing: each store claims anew once it knows what
-// it owns, and a counter grants capacity once all members have claimed. So what was granted in an earlier
-// view is in those claims, or with a store whose lease is over.
+// An account is a tenant's batch jobs on a route. Its queued tokens are limited over all stores
+// (internal/batch/queuedtokens). One store, the account's counter, grants capacity. Before a store writes a batch job,
+// it has capacity for it: within what the counter has granted already, or by a new claim. Batch jobs that it inherits
+// from other stores use capacity without a grant; the next claim includes them, and the counter grants no further
+// capacity until enough items are finished. Nothing is granted at the start of a view: each store claims anew once it
+// knows which batch jobs it owns, and a counter grants capacity once all members have claimed. So all that was granted
+// in an earlier view is either part of those claims, or was granted to a store whose lease has ended.
 
 const (
 	// claimRetry is the time after which claims and polls that may have been lost are sent again.
 	claimRetry = 200 * time.Millisecond
-	// decreaseInterval is the least time between claims that only report that less is used.
+	// decreaseInterval is the minimum time between claims that only report a lower usage.
 	decreaseInterval = 150 * time.Millisecond
-	// overLimitRetry is the Retry-After for a batch job over the limit: a good part of a limit is worked off in
-	// that time.
+	// overLimitRetry is the Retry-After for a batch job over the limit. A considerable part of the queued tokens of a
+	// limit is finished in that time.
 	overLimitRetry = time.Second
 )
 
-// capacityState is the answer to whether a batch job that is being accepted fits within its account's limit.
+// capacityState states whether a batch job that is being accepted fits within its account's limit.
 type capacityState int
 
 const (
@@ -46,17 +47,17 @@
 	outdated       bool // a new claim is due as soon as this one is answered
 }
 
-// claims is a store's part in the limits of queued tokens, as one that claims and as one that counts.
+// claims is a store's state for the limits of queued tokens, both as a claimant and as a counter.
 type claims struct {
-	granted   map[queuedtokens.Account]int64         // tokens that the account's counter holds for this store at least
-	sent      map[placement.Key]*sentClaim           // by counter
-	counters  map[queuedtokens.Account]placement.Key // in the present view
-	unclaimed map[queuedtokens.Account]int64         // tokens that came since the last claim without having been granted
+	granted   map[queuedtokens.Account]int64         // tokens that the account's counter reserves for this store at least
+	sent      map[placement.Key]*sentClaim           // newest claims, by counter
+	counters  map[queuedtokens.Account]placement.Key // counters of accounts in the present view
+	unclaimed map[queuedtokens.Account]int64         // tokens in use since the last claim without having been granted
 	counter   *queuedtokens.Counter[placement.Key]
-	polledAt  time.Duration // when other stores were asked for their claims last; 0 for never
+	polledAt  time.Duration // when other stores were last asked for their claims; 0 for never
 }
 
-// newClaims returns a part that has claimed and counted nothing.
+// newClaims returns a state in which nothing has been claimed or counted.
 func newClaims() claims {
 	return claims{
 		granted:   map[queuedtokens.Account]int64{},
@@ -67,9 +68,9 @@
 	}
 }
 
-// resetClaims begins with nothing in a new view. Batch jobs that are being accepted claim anew, as nothing of
-// them was written: the counter that granted them capacity may not have known of batch jobs whose stores were
-// away.
+// resetClaims discards all claims and grants when a new view begins. Batch jobs that are being accepted claim anew, as
+// nothing of them has been written yet: the counter that granted them capacity may not have known of batch jobs whose
+// stores were absent.
 func (m *StateMachine) resetClaims() {
 	clear(m.claims.granted)
 	clear(m.claims.sent)
@@ -82,8 +83,8 @@
 	}
 }
 
-// noteClaimantRestart notes that another store's process restarted: it counts anew, and numbers its claims
-// anew.
+// noteClaimantRestart handles the restart of another store's process, which has lost its counts and starts to number
+// its claims anew.
 func (m *StateMachine) noteClaimantRestart(store placement.Key) {
 	m.claims.counter.Restarted(store)
 	if last := m.claims.sent[store]; last != nil {
@@ -96,7 +97,7 @@
 	return queuedtokens.Account{Tenant: a.content.Tenant, Route: a.content.Route}
 }
 
-// counterOf returns the store that counts an account in the present view, empty if no store is active.
+// counterOf returns the store that counts an account in the present view, or an empty key if no store is active.
 func (m *StateMachine) counterOf(account queuedtokens.Account) placement.Key {
 	if key, known := m.claims.counters[account]; known {
 		return key
@@ -110,9 +111,9 @@
 	return key
 }
 
-// usedTokens sums, by account, the tokens of unfinished items of the batch jobs that this store answers for:
-// those that it owns, those that it transferred to a store that has yet to take over, and those that it is
-// accepting with capacity granted.
+// usedTokens returns, by account, the number of tokens of unfinished items for which this store has to claim capacity:
+// of the batch jobs that it owns, of those that it transferred to a store that has yet to replicate them fully, and of
+// those that it is accepting with capacity granted.
 func (m *StateMachine) usedTokens() map[queuedtokens.Account]int64 {
 	used := map[queuedtokens.Account]int64{}
 	for _, j := range m.jobsInOrder {
@@ -129,7 +130,7 @@
 	return used
 }
 
-// QueuedTokens returns the number of queued tokens of the batch jobs that this store answers for.
+// QueuedTokens returns the total number of queued tokens of the batch jobs for which this store has to claim capacity.
 func (m *StateMachine) QueuedTokens() int64 {
 	sum := int64(0)
 	for _, tokens := range m.usedTokens() {
@@ -138,13 +139,14 @@
 	return sum
 }
 
-// knowsOwnJobs reports whether this store knows all batch jobs that it answers for: none is held only by
-// stores that are away.
+// knowsOwnJobs reports whether this store knows all batch jobs for which it has to claim capacity: none is held only by
+// stores that are absent.
 func (m *StateMachine) knowsOwnJobs() bool {
 	return m.reconciled && m.unowned == 0 && !m.tooManyDeparted()
 }
 
-// requestCapacity finds out whether a batch job that is being accepted fits within its account's limit.
+// requestCapacity decides whether a batch job that is being accepted fits within its account's limit, or sends a claim
+// to find out.
 func (m *StateMachine) requestCapacity(a *acceptance) {
 	if a.capacity != capacityUnknown {
 		return
@@ -152,7 +154,7 @@
 	account := a.account()
 	limit, known := m.env.QueueLimit(account.Route)
 	switch {
-	case !known: // a later tick finds it
+	case !known: // tickClaims tries again
 	case limit == 0:
 		a.capacity = capacityGranted
 		m.claims.unclaimed[account] += a.tokens
@@ -165,7 +167,7 @@
 	}
 }
 
-// checkCapacity checks, as a batch job is written, that capacity for it was claimed.
+// checkCapacity asserts, when a batch job is written, that capacity for it was claimed (InvariantWithinClaim).
 func (m *StateMachine) checkCapacity(account queuedtokens.Account) {
 	limit, known := m.queueLimit(account)
 	if !known || limit == 0 {
@@ -174,8 +176,8 @@
 	m.assert(m.usedTokens()[account] <= m.claims.granted[account]+m.claims.unclaimed[account], InvariantWithinClaim)
 }
 
-// sendClaim claims from a counter what this store uses and wants. While a response is awaited, it only notes
-// that a newer claim is due.
+// sendClaim sends a claim to a counter with the tokens that this store uses and wants. While a response is awaited, it
+// only records that a newer claim is due.
 func (m *StateMachine) sendClaim(counter placement.Key) {
 	if counter == "" || !m.knowsOwnJobs() || !m.MayAct() {
 		return
@@ -202,8 +204,8 @@
 	}
 }
 
-// claimEntries lists what this store uses and wants of a counter's accounts. From here on, what is used
-// counts as granted.
+// claimEntries lists the tokens that this store uses and wants of a counter's accounts. From here on, the tokens in use
+// count as granted.
 func (m *StateMachine) claimEntries(counter placement.Key) []queuedtokens.Entry {
 	used := m.usedTokens()
 	wants := map[queuedtokens.Account][]queuedtokens.Want{}
@@ -230,7 +232,7 @@
 	return entries
 }
 
-// handleClaimResponse takes a counter's answer to this store's newest claim.
+// handleClaimResponse handles a counter's answer to this store's newest claim. Answers to earlier claims are ignored.
 func (m *StateMachine) handleClaimResponse(from placement.Key, message ClaimResponse) {
 	last := m.claims.sent[from]
 	if last == nil || last.number != message.Number {
@@ -241,7 +243,7 @@
 		a := m.acceptances[decision.Job]
 		switch {
 		case a == nil || a.capacity != capacityUnknown:
-			last.outdated = last.outdated || decision.Fits // it isn't wanted any more
+			last.outdated = last.outdated || decision.Fits // the granted tokens aren't wanted any more
 		case decision.Fits:
 			a.capacity = capacityGranted
 			m.claims.granted[a.account()] += a.tokens
@@ -256,7 +258,7 @@
 	}
 }
 
-// tickClaims sends claims again that were not answered, and claims anew where the usage has changed.
+// tickClaims sends claims again that were not answered, and sends new claims for accounts whose usage has changed.
 func (m *StateMachine) tickClaims(now time.Duration) {
 	m.answerWaitingClaims()
 	for _, id := range m.acceptanceIDs() {
@@ -270,15 +272,16 @@
 	}
 }
 
-// countersToUpdate lists the counters of limited accounts that hold another number of tokens for this store
-// than it uses: at once if that is less than it uses, otherwise after decreaseInterval.
+// countersToUpdate lists the counters to which a claim is due: those that have not answered within claimRetry, those
+// for which a submission waits, and those that reserve another number of tokens for this store than it uses. A claim
+// for more tokens is due at once, a claim for fewer after decreaseInterval.
 func (m *StateMachine) countersToUpdate(now time.Duration) []placement.Key {
 	if !m.reconciled {
 		return nil
 	}
 	used := m.usedTokens()
 	for account := range m.claims.granted {
-		used[account] += 0 // adds the key, so that accounts of which nothing is used any more are compared, too
+		used[account] += 0 // adds the key, so that accounts that are not used any more are compared as well
 	}
 	due := map[placement.Key]bool{}
 	for _, j := range m.jobsInOrder {
@@ -289,7 +292,7 @@
 		}
 	}
 	for counter, last := range m.claims.sent {
-		if last.awaitsResponse && now-last.sentAt >= claimRetry { // it may have been lost
+		if last.awaitsResponse && now-last.sentAt >= claimRetry { // the claim or its response may have been lost
 			due[counter] = true
 		}
 	}
@@ -312,16 +315,16 @@
 	return slices.Sorted(maps.Keys(due))
 }
 
-// noteInheritedTokens notes that ownership of a batch job fell to this store, which has no capacity granted
-// for it.
+// noteInheritedTokens records that this store became the owner of an existing batch job, for which it has no capacity
+// granted.
 func (m *StateMachine) noteInheritedTokens(j *storedJob) {
 	m.claims.unclaimed[j.account()] += j.queuedTokens
 	j.capacityUnconfirmed = true
 }
 
-// mayExceedLimit reports whether a batch job may not be acknowledged yet. Its ownership fell to this store,
-// and perhaps nobody ever acknowledged it, as when all power was lost while it was written; its capacity may
-// have been granted to others meanwhile.
+// mayExceedLimit reports whether a batch job must not be acknowledged yet, because this store became its owner later
+// and it may exceed the account's limit. Possibly no store has ever acknowledged it, for example if all power was lost
+// while it was written, and its capacity may have been granted to other batch jobs since.
 func (m *StateMachine) mayExceedLimit(j *storedJob) bool {
 	if !j.capacityUnconfirmed || j.queuedTokens == 0 || j.ended {
 		return false
@@ -330,8 +333,8 @@
 	return !known || limit > 0
 }
 
-// confirmCapacity takes a counter's confirmation that a claim's accounts are within their limits, except for
-// some.
+// confirmCapacity handles a counter's confirmation that the accounts of a claim are within their limits, except for
+// those in over.
 func (m *StateMachine) confirmCapacity(counter placement.Key, over []queuedtokens.Account) {
 	for _, j := range m.jobsInOrder {
 		account := j.account()
@@ -347,7 +350,7 @@
 	}
 }
 
-// awaitsCapacity reports whether a batch job's acknowledgement waits for the counter.
+// awaitsCapacity reports whether submissions of a batch job wait only for the counter's confirmation.
 func (m *StateMachine) awaitsCapacity(j *storedJob) bool {
 	return j.owned && j.replicated && len(j.pendingSubmissions) > 0 && m.mayExceedLimit(j)
 }
--- a/internal/batch/replica/finding.go
+++ b/internal/batch/replica/finding.go
@@ -7,12 +7,12 @@
 	"sprucelane.example/sprucelane/internal/batch/wal"
 )
 
-// What is wrong with a record of the log, and what does it cost?
+// This file describes records of the log that can't be used, and their consequences.
 
-// Problem is what is wrong with a record of the log.
+// Problem describes why a record of the log can't be used.
 type Problem string
 
-// The problems of records. None is left behind by a killed process, a loss of power or a full disk.
+// The problems of records. None of them is caused by a killed process, a loss of power or a full disk.
 const (
 	ProblemRecord  Problem = "a record can't be decoded"
 	ProblemKind    Problem = "a record is of no known kind"
@@ -27,10 +27,10 @@
 type Finding struct {
 	Problem      Problem
 	At           wal.Location
-	Kind         byte   // of the record
-	Job          string // batch job, empty where that isn't known
-	Position     int    // of a result
-	SoundResults int    // of the batch job
+	Kind         byte   // kind of the record
+	Job          string // id of the batch job, empty if it isn't known
+	Position     int    // position of the result, for ProblemGap and ProblemResult
+	SoundResults int    // number of sound results of the batch job
 }
 
 // Error describes the finding with its location.
@@ -61,5 +61,6 @@
 	}
 }
 
-// corruptsJob reports whether the batch job's copy is incomplete. Events of unfinished items may be missing.
+// corruptsJob reports whether the finding makes the batch job's copy corrupt. A lost progress record doesn't, as events
+// of unfinished items may be missing.
 func (f *Finding) corruptsJob() bool { return f.Kind != recordProgress }
--- a/internal/batch/replica/handover.go
+++ b/internal/batch/replica/handover.go
@@ -5,13 +5,13 @@
 	"sprucelane.example/sprucelane/internal/protocol"
 )
 
-// How does a retiring store hand its batch jobs over?
+// This file contains the handover of batch jobs by a retiring store.
 //
-// It copies each to the first store of a new replica set, which owns it from then on and replicates it to the
-// rest. Once that store has confirmed that the set is fully replicated, nothing here is needed.
+// The store copies each batch job to the first store of a new replica set (the successor), which owns it from then on
+// and replicates it to the other stores of the set. Once the successor has confirmed that the batch job is fully
+// replicated, the copy of the retiring store isn't needed any more.
 
-// startHandover chooses the set that a batch job goes to. The copy here stays as it is, under the old
-// version.
+// startHandover chooses the new replica set of a batch job. The copy here stays as it is, under the old version.
 func (m *StateMachine) startHandover(j *storedJob) {
 	j.peers = nil
 	j.replicated = false
@@ -25,14 +25,14 @@
 	j.handoverReplicas = placement.Replicas(j.id, m.view, kept, m.options.ReplicationFactor)
 	if len(j.handoverReplicas) < m.options.ReplicationFactor {
 		j.handoverReplicas = nil
-		m.reconfigure(j) // too few active members: it stays until the view changes
+		m.reconfigure(j) // too few active members: the batch job stays here until the view changes
 		return
 	}
 	m.env.Stop(j.id)
 	j.peers = []peer{{process: j.handoverReplicas[0]}}
 }
 
-// handoverVersion returns the version of the set that a batch job goes to.
+// handoverVersion returns the version of the set that a batch job is handed over to.
 func (m *StateMachine) handoverVersion(j *storedJob) Version { return j.version.next(m.view.Epoch) }
 
 // sendHandover asks the successor for its state, or sends it a full copy.
@@ -43,12 +43,12 @@
 		return
 	}
 	if j.durableResults < len(j.results) || j.ended != j.endedDurable {
-		return // what is listed has to be durable first
+		return // all results and the end have to be durable first
 	}
 	message := ReplicationRequest{Stamp: m.stamp(), Job: j.id, Version: m.handoverVersion(j)}
 	if p.reported && !p.hasCopy {
 		if p.copySentAt > 0 && now-p.copySentAt < replicationRetry {
-			return // the copy may still be on its way to the disk there
+			return // the successor may not have written the copy to its disk yet
 		}
 		p.copySentAt = now
 		if !m.fillFullCopy(j, &message, j.durableResults) {
@@ -61,7 +61,8 @@
 	m.env.Send(p.process, message)
 }
 
-// handleHandoverResponse takes in what is durable at the successor.
+// handleHandoverResponse handles the successor's report of what is durable there. The handover is complete when the
+// successor's set is fully replicated.
 func (m *StateMachine) handleHandoverResponse(j *storedJob, from placement.Key, message ReplicationResponse) {
 	p := &j.peers[0]
 	if placement.KeyOf(p.process) != from || j.handedOver {
@@ -79,13 +80,13 @@
 		return
 	}
 	if p.hasCopy {
-		p.awaitsResponse = true // asked again later
+		p.awaitsResponse = true // sendHandover asks again after replicationRetry
 		return
 	}
 	m.sendHandover(j)
 }
 
-// takeHandover owns a copy that a retiring store handed over.
+// takeHandover makes this store the owner of a copy that a retiring store handed over.
 func (m *StateMachine) takeHandover(j *storedJob) {
 	if m.jobs[j.id] != j || len(j.replicas) == 0 || placement.KeyOf(j.replicas[0]) != m.self || !m.hasActiveReplicas(j) {
 		return
@@ -95,17 +96,18 @@
 	}
 	j.owned = true
 	m.noteInheritedTokens(j)
-	m.revokeReconciled() // it has to be fully replicated first
+	m.revokeReconciled() // the batch job has to be fully replicated first
 	delete(m.owners, j.id)
-	delete(m.transfers, j.id) // a batch job that was transferred to the retiring store falls to this one again
+	delete(m.transfers, j.id) // this store becomes the owner of a batch job that it had transferred to the retiring store
 	j.setReplicas(j.version, j.replicas, m.self)
 	m.announceOwner(j.id, m.self)
 	m.replicateJob(j)
 	m.maybeCommit(j)
 }
 
-// drained reports whether a retiring store holds nothing that other stores don't. It waits until all members
-// have reconciled, so that none has yet to choose sets in this epoch, and until there is an active member.
+// drained reports whether this store is retiring and all its batch jobs have been handed over. It is false until all
+// members have reconciled, because until then a member may still choose replica sets in this epoch, and while there is
+// no active member.
 func (m *StateMachine) drained() bool {
 	if !m.retiring || !m.reconciled || len(m.acceptances) > 0 {
 		return false
--- a/internal/batch/replica/invariants.go
+++ b/internal/batch/replica/invariants.go
@@ -7,26 +7,28 @@
 	"sprucelane.example/sprucelane/internal/protocol"
 )
 
-// What must always hold of the views that a store acts in and of the capacity that it accepts by?
+// This file contains the invariants of the views that a store acts in, and of the capacity with which it accepts batch
+// jobs.
 
-// Invariant is something that must always hold. It is checked in service, as a view is entered or a batch job
-// written. A violation is counted and logged; ending the process would cost a copy on top of it.
+// Invariant is a condition that must always hold; its text describes the violation. Invariants are checked in service,
+// when a view is entered or a batch job is written. A violation is counted and logged. It doesn't end the process,
+// because that would cost a copy in addition.
 type Invariant string
 
 // The invariants.
 const (
-	// InvariantEpochRises: a store never acts in a view of an epoch below one that it acted in, earlier
+	// InvariantEpochRises: a store never acts in a view of an epoch below one that it acted in before, earlier
 	// incarnations included.
 	InvariantEpochRises Invariant = "a store goes back to a view that ended"
 	// InvariantOneViewPerEpoch: all views of one epoch have the same members.
 	InvariantOneViewPerEpoch Invariant = "two views of one epoch differ"
 	// InvariantDepartedNotMember: a departed store isn't a member.
 	InvariantDepartedNotMember Invariant = "a member counts as departed"
-	// InvariantReconciledNoneDeparted: once all members have reconciled, no store counts as departed any more.
-	// The text is logged, so it keeps older words for that: "whole" is reconciled, "missed" departed.
+	// InvariantReconciledNoneDeparted: once all members have reconciled, no store counts as departed any more. The
+	// text is logged and therefore keeps older terms: "whole" means reconciled, "missed" means departed.
 	InvariantReconciledNoneDeparted Invariant = "all stood whole and somebody is missed"
-	// InvariantWithinClaim: a batch job is written only within what the counter of its account holds for this
-	// store.
+	// InvariantWithinClaim: a batch job is written only within the tokens that the counter of its account reserves for
+	// this store.
 	InvariantWithinClaim Invariant = "a batch job is written without room for it"
 )
 
@@ -52,7 +54,7 @@
 	}
 }
 
-// checkView checks a view that is about to replace the present one.
+// checkView checks the invariants of a view that is about to replace the present one.
 func (m *StateMachine) checkView(next protocol.StoreView) {
 	m.assert(next.Epoch >= m.departures.actedEpoch, InvariantEpochRises)
 	m.assert(next.Epoch != m.view.Epoch || slices.Equal(next.Members, m.view.Members), InvariantOneViewPerEpoch)
--- a/internal/batch/replica/itemfailures.go
+++ b/internal/batch/replica/itemfailures.go
@@ -1,18 +1,19 @@
 package replica
 
-// How often did servers fail an item, over all stores that have owned its batch job?
+// This file counts how often servers failed an item, over all stores that have owned its batch job.
 //
-// An item may fail a number of times and is given up then (BUDGET). The owner counts, and a batch job may change its
-// owner in between. So the owner sends its replicas each count with what it replicates anyway, and a new owner takes
-// the highest counts that its replicas know of before it runs anything (onFullyReplicated follows their responses).
+// An item that has failed a certain number of times (BUDGET) is not tried again. The owner counts the failures, and
+// the owner of a batch job may change in between. Therefore the owner includes each count in the requests that it sends
+// to its replicas, and a new owner adopts the highest counts that its replicas know of before it runs any item
+// (onFullyReplicated is called only after their responses).
 //
-// The counts are in memory only. A loss of power at all replicas of a batch job at once forgets them: its items may
-// then fail as often again.
+// The counts are in memory only. If all replicas of a batch job lose power at once, the counts are lost, and its items
+// may fail as often again.
 
 // Failures counts the answers of servers that an item failed.
 type Failures struct {
-	Count         int  // answers of 500
-	Unprocessable bool // an answer of 422
+	Count         int  // number of answers with status 500
+	Unprocessable bool // a server answered with status 422
 }
 
 // merge returns the higher of two counts of one item.
@@ -20,7 +21,7 @@
 	return Failures{Count: max(f.Count, other.Count), Unprocessable: f.Unprocessable || other.Unprocessable}
 }
 
-// RecordFailures takes in how often an item that runs here has failed so far, and tells the replicas.
+// RecordFailures records how often an item that runs here has failed so far, and sends the count to the replicas.
 func (m *StateMachine) RecordFailures(id string, index int, failures Failures) {
 	j := m.jobs[id]
 	if j == nil || index >= len(j.items) || j.items[index].finished {
@@ -31,8 +32,8 @@
 	}
 }
 
-// mergeFailures takes in counts, and reports whether one was higher than what is known. Items that have results are
-// passed over.
+// mergeFailures merges counts into the known ones, and reports whether a known count rose. Items that have results are
+// skipped.
 func (j *storedJob) mergeFailures(list []ItemFailures) (changed bool) {
 	for _, one := range list {
 		if one.Item < 0 || one.Item >= len(j.items) || j.items[one.Item].finished {
--- a/internal/batch/replica/items.go
+++ b/internal/batch/replica/items.go
@@ -5,9 +5,9 @@
 	"sprucelane.example/sprucelane/internal/batch/wal"
 )
 
-// Which items may run here, and what becomes of their output?
+// This file contains the interface for the runner of items: the items that may run here, and their output.
 
-// Job is what a runner needs of a batch job that this store owns.
+// Job is a batch job that this store owns, as a runner needs it.
 type Job struct {
 	ID, Tenant, Route string
 	FirstSent         int64 // Unix milliseconds
@@ -19,18 +19,19 @@
 	Index int
 	At    wal.Location // of its encoding, see job.DecodeItem
 	Progress
-	Failures Failures // over all owners so far
+	Failures Failures // counted by all owners so far
 }
 
-// Progress is the output of an unfinished item that this store kept, on its own disk only. After a restart
-// the streams are resumed from there; otherwise a server that didn't notice the restart would have run the
-// item for nothing.
+// Progress is the output of an unfinished item that this store has saved, on its own disk only. After a restart the
+// item's stream is resumed from there; otherwise a server that didn't notice the restart would have run the item in
+// vain.
 type Progress struct {
 	Last   int64          // id of the last event, -1 for none
 	Events []wal.Location // data of the events, in order
 }
 
-// Work returns the unfinished items of a batch job if this store owns it.
+// Work returns a batch job with its unfinished items. It reports whether this store owns the batch job and it has not
+// ended.
 func (m *StateMachine) Work(id string) (Job, bool) {
 	j := m.jobs[id]
 	if j == nil || !j.owned || j.ended {
@@ -47,15 +48,15 @@
 	return work, true
 }
 
-// MayRun reports whether an item may be sent to a server now. It is checked right before the first byte.
+// MayRun reports whether an item may be sent to a server now. It is checked immediately before the first byte is sent.
 func (m *StateMachine) MayRun(id string, index int) bool {
 	j := m.jobs[id]
 	return m.MayAct() && j != nil && j.owned && j.replicated && !j.ended &&
 		len(j.handoverReplicas) == 0 && !j.items[index].finished
 }
 
-// SaveProgress keeps events of a running item: those that follow the event with the id after (-1 for the
-// first), up to the one with the id last.
+// SaveProgress writes events of a running item to the log: the events that follow the event with the id after (-1 if
+// they are the first), up to and including the event with the id last.
 func (m *StateMachine) SaveProgress(id string, index int, after, last int64, events [][]byte) {
 	j := m.jobs[id]
 	if j == nil || !j.owned || j.ended || j.items[index].finished {
@@ -64,8 +65,8 @@
 	m.write(encodeProgress(id, index, after, last, events), false, func() {})
 }
 
-// Finish lists an item's result at the next position. It reports whether the result was taken; if it wasn't,
-// the caller tries again unless the batch job was stopped.
+// Finish appends an item's result to the list of results. It reports whether the item has a result now; if not, the
+// caller tries again unless the batch job was stopped.
 func (m *StateMachine) Finish(id string, index int, state job.State, text []byte) bool {
 	j := m.jobs[id]
 	if j == nil || !j.owned || !j.replicated || j.ended || !m.isMember {
--- a/internal/batch/replica/lookup.go
+++ b/internal/batch/replica/lookup.go
@@ -7,17 +7,17 @@
 	"sprucelane.example/sprucelane/internal/protocol"
 )
 
-// Who holds a batch job that isn't known here?
+// This file looks up, at the arbiters of a batch job's id, the store that holds a batch job which isn't known here.
 
-// lookup is a question to arbiters that isn't answered yet.
+// lookup is a pending lookup.
 type lookup struct {
 	number    uint64
 	sentAt    time.Duration
-	unknownTo map[placement.Key]bool // arbiters that know of no holder
+	unknownTo map[placement.Key]bool // arbiters that answered that they know of no holder
 }
 
-// startLookup finds out who holds a batch job that isn't known here. If it was accepted, a majority of its
-// arbiters voted for it in this epoch, or knows of it from the inventories.
+// startLookup asks the arbiters which store holds a batch job that isn't known here. If the batch job was accepted, a
+// majority of its arbiters voted for it in this epoch, or knows of it from the inventories.
 func (m *StateMachine) startLookup(id string) {
 	now := m.env.Now()
 	if asked := m.lookups[id]; !m.reconciled || asked != nil && now-asked.sentAt < inventoryRetry {
@@ -37,7 +37,7 @@
 	}
 }
 
-// handleLookupRequest answers as arbiter, if this store is certain.
+// handleLookupRequest answers as an arbiter, if this store knows the holder or is certain that there is none.
 func (m *StateMachine) handleLookupRequest(from protocol.Process, message LookupRequest) {
 	if !m.reconciled || !m.MayAct() {
 		return
@@ -47,7 +47,8 @@
 	}
 }
 
-// knownHolder returns who holds or may accept a batch job, as far as this store knows as arbiter.
+// knownHolder returns the store that holds or may accept a batch job, as far as this store knows as an arbiter, or an
+// empty key.
 func (m *StateMachine) knownHolder(id string) placement.Key {
 	if j := m.jobs[id]; j != nil && j.owned {
 		return m.self
@@ -61,8 +62,8 @@
 	return m.reservations[id].store
 }
 
-// handleLookupResponse takes an arbiter's answer. If it names this store, a batch job was about to be
-// accepted here, and wasn't.
+// handleLookupResponse handles an arbiter's answer. If it names this store, an acceptance began here and was not
+// completed, which counts as an answer that no store holds the batch job.
 func (m *StateMachine) handleLookupResponse(from placement.Key, message LookupResponse) {
 	l := m.lookups[message.Job]
 	if l == nil || l.number != message.Number || !m.reconciled {
@@ -84,7 +85,8 @@
 	}
 }
 
-// answerNotFound answers the calls for a batch job that came before a time at which it didn't exist.
+// answerNotFound answers notFound to the calls for a batch job that were received up to a time at which the batch job
+// didn't exist.
 func (m *StateMachine) answerNotFound(id string, at time.Duration) {
 	waiting := m.parkedCalls
 	m.parkedCalls = nil
--- a/internal/batch/replica/messages.go
+++ b/internal/batch/replica/messages.go
@@ -7,38 +7,38 @@
 	"sprucelane.example/sprucelane/internal/protocol"
 )
 
-// What do stores send to each other?
+// This file contains the messages that stores send to each other.
+//
+// The gob encoding matches fields by name, and running processes of earlier versions send the present names: the
+// fields of all types here keep them (testdata/golden). The types' own names on the wire are in wireTypes.
 
-// The gob encoding matches fields by name: the fields of all types here keep their names (testdata/golden),
-// as running processes of earlier versions send them. The types' own names on the wire are in wireTypes.
-
-// Stamp heads every message between stores. A message of another epoch than the receiver's is dropped: what
-// matters is sent again.
+// Stamp is the header of every message between stores. A message whose epoch differs from the receiver's is
+// dropped; messages that matter are sent again.
 type Stamp struct {
-	Epoch uint64 // of the sender's view
+	Epoch uint64 // epoch of the sender's view
 	Life  uint64 // the sender's Options.ProcessIncarnation
 }
 
-// header returns the message's stamp. All types of messages embed it.
+// header returns the message's stamp. All message types embed Stamp and so have this method.
 func (s Stamp) header() Stamp { return s }
 
 // stamped is a message between stores.
 type stamped interface{ header() Stamp }
 
-// InventoryRequest asks a store for a list of all that it holds.
+// InventoryRequest asks a store for a list of all batch jobs that it holds.
 type InventoryRequest struct {
 	Stamp
-	Round uint64 // the asker's inventoryRound; the response returns it
+	Round uint64 // the requester's inventoryRound; the response returns it
 }
 
-// InventoryResponse lists all that a store holds, as of when the request came.
+// InventoryResponse lists all batch jobs that a store held when it received the request.
 type InventoryResponse struct {
 	Stamp
 	Round   uint64
 	Settled uint64 // newest epoch in which the sender had reconciled
 	Entries []InventoryEntry
-	// Obscured: the sender's log is incomplete. It may have held batch jobs, or higher versions of some, that it
-	// can't name.
+	// Obscured is set if the sender's log is incomplete: the log may have held batch jobs, or higher versions of
+	// batch jobs, that the sender can't name.
 	Obscured bool
 }
 
@@ -47,13 +47,14 @@
 	Job      string
 	Version  Version
 	Replicas []protocol.Process
-	Count    int // durable results
+	Count    int // number of durable results
 	Ended    bool
 	Damaged  bool // the copy is corrupt: its results are a sound prefix
 }
 
-// OwnershipTransfer makes a store with a better copy of a version own the batch job. The sender is its
-// designated owner in this epoch. A ReplicationResponse or an OwnerNotice answers it.
+// OwnershipTransfer makes a store with a better copy of a version the owner of the batch job. The sender is the
+// designated owner of the batch job in this epoch. The receiver answers with a ReplicationResponse or an
+// OwnerNotice.
 type OwnershipTransfer struct {
 	Stamp
 	Job     string
@@ -64,34 +65,34 @@
 type ReservationRequest struct {
 	Stamp
 	Job    string
-	Number uint64 // of the sender's attempt; it rises
+	Number uint64 // number of the sender's attempt, which rises from attempt to attempt
 }
 
 // ReservationResponse names the store that has the arbiter's vote, or that holds the batch job.
 type ReservationResponse struct {
 	Stamp
 	Job    string
-	Number uint64 // of the attempt that is answered
+	Number uint64 // of the request
 	Owner  placement.Key
-	Held   bool // Owner holds the batch job, as opposed to the vote
+	Held   bool // Owner holds the batch job itself, not only the vote
 }
 
-// ReservationRelease gives a vote back: the sender has not accepted the batch job in that attempt nor in an
-// earlier one.
+// ReservationRelease returns a vote to the arbiter: the sender has accepted the batch job neither in that attempt
+// nor in an earlier one.
 type ReservationRelease struct {
 	Stamp
 	Job    string
 	Number uint64
 }
 
-// LookupRequest asks an arbiter of a batch job's id who holds it.
+// LookupRequest asks an arbiter of a batch job's id which store holds the batch job.
 type LookupRequest struct {
 	Stamp
 	Job    string
-	Number uint64 // of the sender's lookup; the response returns it
+	Number uint64 // number of the sender's lookup; the response returns it
 }
 
-// LookupResponse names the holder. Owner is empty where the arbiter knows of none.
+// LookupResponse names the store that holds a batch job. Owner is empty if the arbiter knows of none.
 type LookupResponse struct {
 	Stamp
 	Job    string
@@ -99,29 +100,31 @@
 	Owner  placement.Key
 }
 
-// OwnerNotice tells another store who owns a batch job, so that it needn't ask.
+// OwnerNotice names the owner of a batch job, so that the receiver needn't look it up.
 type OwnerNotice struct {
 	Stamp
 	Job   string
 	Owner placement.Key
 }
 
-// ReplicationRequest brings a replica up to the owner's state. Without Content, Results and Ended it asks for the
-// replica's state; with Replicas it tells a store that left the set of the newer version. A store that is to release
-// a copy sends such a question to the owner, too.
+// ReplicationRequest brings a replica up to the owner's state.
+//
+// Without Content, Results and Ended it asks for the receiver's state. The owner sends such a request to its
+// replicas; with Replicas set it also informs a store that left the replica set of the newer version. A store that
+// wants to release its copy sends such a request, without Replicas, to the owner.
 type ReplicationRequest struct {
 	Stamp
 	Job      string
 	Version  Version
-	Replicas []protocol.Process // with Content, and where the receiver has left the set
-	Content  []byte             // encoded; nil where the replica has it
-	Start    int                // position of the first of Results; 0 with Content
+	Replicas []protocol.Process // set with Content, and if the receiver has left the replica set
+	Content  []byte             // encoded content; nil if the replica has it
+	Start    int                // position of the first element of Results; 0 with Content
 	Results  []Result
 	Ended    bool
-	Failures []ItemFailures // of unfinished items; earlier versions send none
+	Failures []ItemFailures // of unfinished items; earlier versions of the software send none
 }
 
-// ItemFailures is how often servers failed an item.
+// ItemFailures counts how often servers failed an item.
 type ItemFailures struct {
 	Item int // index in the batch job
 	Failures
@@ -134,18 +137,19 @@
 	Text  []byte
 }
 
-// ReplicationResponse says what is durable at the sender.
+// ReplicationResponse reports which parts of a batch job are durable at the sender.
 type ReplicationResponse struct {
 	Stamp
 	Job     string
 	Held    bool // the sender has a durable copy of Version
 	Version Version
-	Count   int // durable results
+	Count   int // number of durable results
 	Ended   bool
-	None    bool // the sender has no copy and, as far as it is reconciled, knows of no owner
-	Stands  bool // the sender owns the batch job, and it is fully replicated
-	Whole   bool // Stands, and the receiver isn't one of the replicas
-	// Failures is what the sender knows of unfinished items; earlier versions send none.
+	None    bool // the sender has reconciled, has no copy and knows of no owner
+	Stands  bool // the sender owns the batch job, and the batch job is fully replicated
+	Whole   bool // Stands is set, and the receiver isn't one of the replicas
+	// Failures has the failure counts of unfinished items that the sender knows; earlier versions of the software
+	// send none.
 	Failures []ItemFailures
 }
 
@@ -153,46 +157,47 @@
 type ReconciledNotice struct {
 	Stamp
 	Settled uint64
-	Ask     bool // the receiver should answer with its own
+	Ask     bool // the receiver should answer with a ReconciledNotice of its own
 }
 
-// Claim states, to the store that counts some accounts, what the sender uses of them and wants besides.
+// Claim reports to the counter of some accounts how many tokens the sender uses of them, and requests more.
 type Claim struct {
 	Stamp
 	queuedtokens.Claim
 }
 
-// ClaimResponse confirms a claim and answers its wants.
+// ClaimResponse confirms a claim and answers the requests for tokens in it.
 type ClaimResponse struct {
 	Stamp
 	Number   uint64 // of the claim
 	Verdicts []queuedtokens.Decision
-	Over     []queuedtokens.Account // of the claim's accounts, those over their limits, or not yet known to be within
+	Over     []queuedtokens.Account // accounts of the claim that are over their limits, or not yet known to be within them
 }
 
-// ClaimPoll asks a store for its claim: the sender counts accounts and has no claim of it in this epoch.
+// ClaimPoll asks a store for its claim: the sender counts accounts and has not received a claim of the receiver in
+// this epoch.
 type ClaimPoll struct{ Stamp }
 
-// wireTypes lists all types of messages with their names on the wire, which stay when a type is renamed or
-// moved.
+// wireTypes lists all message types with their names on the wire. These names don't change when a type is renamed
+// or moved.
 func wireTypes() []transport.NamedType {
-	const here = "sprucelane.example/sprucelane/internal/batch/replica."
+	const prefix = "sprucelane.example/sprucelane/internal/batch/replica."
 	return []transport.NamedType{
-		{Name: here + "InventoryRequest", Sample: InventoryRequest{}},
-		{Name: here + "Inventory", Sample: InventoryResponse{}},
-		{Name: here + "Reserve", Sample: ReservationRequest{}},
-		{Name: here + "Reserved", Sample: ReservationResponse{}},
-		{Name: here + "Release", Sample: ReservationRelease{}},
-		{Name: here + "Lookup", Sample: LookupRequest{}},
-		{Name: here + "Found", Sample: LookupResponse{}},
-		{Name: here + "Notice", Sample: OwnerNotice{}},
-		{Name: here + "Replicate", Sample: ReplicationRequest{}},
-		{Name: here + "Replicated", Sample: ReplicationResponse{}},
-		{Name: here + "SettledNotice", Sample: ReconciledNotice{}},
-		{Name: here + "Concede", Sample: OwnershipTransfer{}},
-		{Name: here + "Claim", Sample: Claim{}},
-		{Name: here + "Claimed", Sample: ClaimResponse{}},
-		{Name: here + "ClaimRequest", Sample: ClaimPoll{}},
+		{Name: prefix + "InventoryRequest", Sample: InventoryRequest{}},
+		{Name: prefix + "Inventory", Sample: InventoryResponse{}},
+		{Name: prefix + "Reserve", Sample: ReservationRequest{}},
+		{Name: prefix + "Reserved", Sample: ReservationResponse{}},
+		{Name: prefix + "Release", Sample: ReservationRelease{}},
+		{Name: prefix + "Lookup", Sample: LookupRequest{}},
+		{Name: prefix + "Found", Sample: LookupResponse{}},
+		{Name: prefix + "Notice", Sample: OwnerNotice{}},
+		{Name: prefix + "Replicate", Sample: ReplicationRequest{}},
+		{Name: prefix + "Replicated", Sample: ReplicationResponse{}},
+		{Name: prefix + "SettledNotice", Sample: ReconciledNotice{}},
+		{Name: prefix + "Concede", Sample: OwnershipTransfer{}},
+		{Name: prefix + "Claim", Sample: Claim{}},
+		{Name: prefix + "Claimed", Sample: ClaimResponse{}},
+		{Name: prefix + "ClaimRequest", Sample: ClaimPoll{}},
 	}
 }
 
--- a/internal/batch/replica/ownership.go
+++ b/internal/batch/replica/ownership.go
@@ -5,9 +5,9 @@
 	"sprucelane.example/sprucelane/internal/protocol"
 )
 
-// How does a store become the owner of a batch job, and how do the others learn of it?
+// This file contains how a store becomes the owner of a batch job, and how it informs the other stores.
 
-// takeOwnership owns a batch job, with a replica set that is right for the present view.
+// takeOwnership makes this store the owner of a batch job, with a replica set that fits the present view.
 func (m *StateMachine) takeOwnership(j *storedJob) {
 	if j.owned {
 		for i := range j.peers {
@@ -17,10 +17,10 @@
 		return
 	}
 	delete(m.owners, j.id)
-	delete(m.transfers, j.id) // a transferred batch job falls to this store again
+	delete(m.transfers, j.id) // this store becomes the owner of a batch job that it had transferred
 	j.owned = true
 	m.noteInheritedTokens(j)
-	m.revokeReconciled() // it has to be fully replicated first
+	m.revokeReconciled() // the batch job has to be fully replicated first
 	switch {
 	case m.retiring:
 		m.startHandover(j)
@@ -34,16 +34,17 @@
 	m.maybeCommit(j)
 }
 
-// soleOwnerSince reports whether nobody else can have owned a batch job since a version was made here. In a
-// view without this store another one may have chosen a higher version, and departed before it showed
-// anything: to continue under the present version would show what that store doesn't hold when it is back.
+// soleOwnerSince reports whether no other store can have owned a batch job since a version was chosen, because this
+// store has been a member of all views since. In a view without this store, another store may have chosen a higher
+// version, and departed before it showed anything. If this store continued under the present version, it would show
+// results that the other store doesn't hold when it returns.
 func (m *StateMachine) soleOwnerSince(version Version) bool {
 	since := m.departures.memberSince
 	return since > 0 && version >= versionOf(since, 0)
 }
 
-// reconfigure gives a batch job a new replica set: this store, the active members of the old set, and others
-// up to ReplicationFactor.
+// reconfigure gives a batch job a new replica set under a new version: this store, the active members of the old set,
+// and other stores up to ReplicationFactor.
 func (m *StateMachine) reconfigure(j *storedJob) {
 	kept := []protocol.Process{m.options.Self}
 	for _, replica := range j.replicas {
@@ -58,8 +59,8 @@
 	m.writeReplicas(j)
 }
 
-// addRetiring adds retiring stores to a set that too few active ones are left for: they leave once others
-// have joined.
+// addRetiring adds retiring stores to a replica set if there are too few active stores. They leave the set once other
+// stores have joined.
 func (m *StateMachine) addRetiring(replicas []protocol.Process) []protocol.Process {
 	for _, member := range m.view.Members {
 		needed := len(replicas) < m.options.ReplicationFactor && member.State == protocol.StoreRetiring
@@ -87,8 +88,8 @@
 	})
 }
 
-// followOwner leaves a batch job to its owner. Items that run here are stopped, and waiting calls are sent
-// there.
+// followOwner ends this store's ownership of a batch job whose owner is known. Items that run here are stopped, and
+// waiting calls are redirected to the owner.
 func (m *StateMachine) followOwner(j *storedJob) {
 	j.owned, j.replicated = false, false
 	j.peers, j.replaced = nil, nil
@@ -104,14 +105,14 @@
 	})
 }
 
-// sendOwnerNotice names the owner of a batch job to a store that took this one for it.
+// sendOwnerNotice names the owner of a batch job to a store that assumed this store to be the owner.
 func (m *StateMachine) sendOwnerNotice(to protocol.Process, id string) {
 	if owner := m.owners[id]; owner != "" && owner != placement.KeyOf(to) && owner != m.self {
 		m.env.Send(to, OwnerNotice{Stamp: m.stamp(), Job: id, Owner: owner})
 	}
 }
 
-// noteOwner records who owns a batch job that isn't owned here.
+// noteOwner records the owner of a batch job that isn't owned here.
 func (m *StateMachine) noteOwner(id string, owner placement.Key) {
 	if j := m.jobs[id]; j != nil && j.owned {
 		return
@@ -119,7 +120,7 @@
 	if _, present := placement.MemberOf(m.view, owner); present && owner != m.self {
 		m.owners[id] = owner
 		delete(m.lookups, id)
-		if transfer, pending := m.transfers[id]; pending { // until it is fully replicated there
+		if transfer, pending := m.transfers[id]; pending { // it stays pending until the new owner has replicated it fully
 			transfer.to = owner
 			m.transfers[id] = transfer
 		}
--- a/internal/batch/replica/ownershiptransfer.go
+++ b/internal/batch/replica/ownershiptransfer.go
@@ -9,17 +9,18 @@
 	"sprucelane.example/sprucelane/internal/protocol"
 )
 
-// Who owns a batch job instead of a store whose copy is corrupt or missing?
+// This file contains the transfer of ownership from a designated owner whose copy is corrupt or missing to a store
+// with a better copy.
 
-// ownershipTransfer is a batch job that this store would own, transferred to another one.
+// ownershipTransfer is the transfer of a batch job from this store, its designated owner, to another store.
 type ownershipTransfer struct {
 	to      placement.Key
 	version Version
 	sentAt  time.Duration
 }
 
-// ownOrTransfer owns a batch job that falls to this store, or transfers it to a store with a better copy of
-// the newest version. Only the designated owner calls it, so there is one decision in an epoch.
+// ownOrTransfer makes this store the owner of a batch job, or transfers the batch job to a store with a better copy of
+// the newest version. Only the designated owner calls it, so that one store decides in each epoch.
 func (m *StateMachine) ownOrTransfer(id string, newest *newestCopies) {
 	j := m.jobs[id]
 	hasNewest := j != nil && j.version == newest.version
@@ -40,8 +41,8 @@
 	}
 }
 
-// betterHolder returns the store with a sound copy, the first of the replica set if there are several; else
-// the one with the longest sound prefix that is longer than count results.
+// betterHolder returns another store with a sound copy, the first of the replica set if there are several. If there is
+// none, it returns the store with the longest sound prefix that is longer than count results, or an empty key.
 func (c *newestCopies) betterHolder(self placement.Key, count int) placement.Key {
 	candidates := slices.Sorted(slices.Values(c.holders))
 	for _, replica := range slices.Backward(c.replicas) {
@@ -63,8 +64,8 @@
 	return longest
 }
 
-// transferOwnership sends a batch job's ownership to another store, and keeps sending until the batch job is
-// fully replicated there.
+// transferOwnership transfers the ownership of a batch job to another store. resendTransfers repeats it until that
+// store has fully replicated the batch job.
 func (m *StateMachine) transferOwnership(id string, transfer ownershipTransfer) {
 	member, present := placement.MemberOf(m.view, transfer.to)
 	if !present {
@@ -79,8 +80,8 @@
 	m.env.Send(member.Process, OwnershipTransfer{Stamp: m.stamp(), Job: id, Version: transfer.version})
 }
 
-// resendTransfers sends transfers again that may have been lost. To one that has taken over it is a question
-// whether the batch job is fully replicated there.
+// resendTransfers sends transfers again that may have been lost. A store that has already taken over answers whether
+// the batch job is fully replicated.
 func (m *StateMachine) resendTransfers(now time.Duration) {
 	for _, id := range slices.Sorted(maps.Keys(m.transfers)) {
 		transfer := m.transfers[id]
@@ -90,16 +91,16 @@
 	}
 }
 
-// handleOwnershipTransfer owns a batch job whose designated owner has no sound copy.
+// handleOwnershipTransfer makes this store the owner of a batch job whose designated owner has no sound copy.
 func (m *StateMachine) handleOwnershipTransfer(from protocol.Process, message OwnershipTransfer) {
 	if !m.reconciled {
 		return
 	}
 	j := m.jobs[message.Job]
 	if j != nil && j.handedOver && m.owners[j.id] == placement.KeyOf(from) {
-		j = m.takeBack(j)
+		j = m.reclaimCopy(j)
 	}
-	if j == nil || !j.owned && j.version != message.Version { // what the inventory listed was dropped or replaced
+	if j == nil || !j.owned && j.version != message.Version { // the copy that the inventory listed was dropped or replaced
 		m.env.Send(from, ReplicationResponse{Stamp: m.stamp(), Job: message.Job, Version: message.Version})
 		return
 	}
@@ -108,19 +109,19 @@
 		m.sendReplicationResponse(j, from)
 		return
 	}
-	if j.handedOver { // and has another owner now
+	if j.handedOver { // it has another owner now
 		m.sendOwnerNotice(from, j.id)
 		return
 	}
-	m.revokeReconciled() // it has to be fully replicated first
+	m.revokeReconciled() // the batch job has to be fully replicated first
 	m.takeOwnership(j)
 	m.retryParkedCalls()
 }
 
-// takeBack decides about a copy that was handed over to a store which has none any more: it dropped the batch job,
-// if that has expired, and so is this copy, or else its copy is gone and this one is needed again. The result is nil
-// if the copy was dropped.
-func (m *StateMachine) takeBack(j *storedJob) *storedJob {
+// reclaimCopy decides about a copy that was handed over to a store which has no copy any more. If the batch job has
+// expired, the other store has dropped it, and reclaimCopy drops this copy as well and returns nil. Otherwise the other
+// store has lost its copy, and this one is needed again.
+func (m *StateMachine) reclaimCopy(j *storedJob) *storedJob {
 	if m.isExpired(j) {
 		m.discard(j)
 		return nil
@@ -129,8 +130,9 @@
 	return j
 }
 
-// checkTransferRejected matches inventories anew if the store that a batch job was transferred to doesn't
-// hold the version any more. One that has taken over may have yet to write a newer version.
+// checkTransferRejected restarts the reconciliation if the store that a batch job was transferred to doesn't hold the
+// transferred version any more. A response with a newer version isn't a rejection: a store that has taken over may
+// have yet to write that version.
 func (m *StateMachine) checkTransferRejected(from placement.Key, message ReplicationResponse) {
 	transfer, pending := m.transfers[message.Job]
 	if pending && transfer.to == from && !message.Held && message.Version == transfer.version {
--- a/internal/batch/replica/receive.go
+++ b/internal/batch/replica/receive.go
@@ -7,10 +7,10 @@
 	"sprucelane.example/sprucelane/internal/protocol"
 )
 
-// Which messages of other stores count, and which method handles each?
+// This file checks the messages of other stores and dispatches them to their handlers.
 
-// Receive takes a message of another store. It drops messages of other epochs, of stores that aren't members
-// and of earlier incarnations.
+// Receive handles a message of another store. It drops messages of other epochs, of stores that aren't members and
+// of earlier incarnations.
 func (m *StateMachine) Receive(from protocol.Process, message any) {
 	stampedMessage, ok := message.(stamped)
 	if !ok {
@@ -59,13 +59,13 @@
 	case ClaimPoll:
 		m.sendClaim(key)
 	default:
-		panic(fmt.Sprintf("replica: message of type %T", message))
+		panic(fmt.Sprintf("replica: message of unknown type %T", message))
 	}
 }
 
-// noteIncarnation records the sender's process incarnation, and reports whether the message is of an earlier
-// one. A restarted process has forgotten its votes, its claims and the requests it got, and may have found
-// its copies corrupt: what it promised is discarded, and all inventories are exchanged again.
+// noteIncarnation records the sender's process incarnation, and reports whether the message is of an earlier one.
+// After a restart a process has forgotten its votes, its claims and the requests that it received, and may have found
+// its copies corrupt: its earlier promises are discarded, and all inventories are exchanged again.
 func (m *StateMachine) noteIncarnation(key placement.Key, incarnation uint64) (stale bool) {
 	last, seen := m.incarnations[key]
 	if seen && incarnation < last {
@@ -87,7 +87,7 @@
 	return false
 }
 
-// stamp heads a message of this store.
+// stamp returns the header of a message of this store.
 func (m *StateMachine) stamp() Stamp {
 	return Stamp{Epoch: m.view.Epoch, Life: m.options.ProcessIncarnation}
 }
--- a/internal/batch/replica/reconciliation.go
+++ b/internal/batch/replica/reconciliation.go
@@ -9,25 +9,25 @@
 	"sprucelane.example/sprucelane/internal/protocol"
 )
 
-// Who owns which batch job in a new epoch, and when has a store reconciled?
-//
-// All members exchange inventories and come to the same answer from them.
+// This file contains reconciliation, which decides who owns each batch job in a new epoch. All members exchange
+// inventories and reach the same decision from them.
 
-// inventoryRetry is the time after which unanswered inventory requests, lookups and transfers are sent again.
+// inventoryRetry is the time after which unanswered inventory requests, lookups, transfers and urgent queries to
+// owners are sent again.
 const inventoryRetry = 250 * time.Millisecond
 
 // noticeInterval is the time between ReconciledNotices while something waits for all members to reconcile.
 const noticeInterval = time.Second
 
-// newestCopies is what the inventories list of a batch job's copies of the highest version.
+// newestCopies lists the copies of a batch job that have the highest version in the inventories.
 type newestCopies struct {
 	version  Version
 	replicas []protocol.Process
 	holders  []placement.Key
-	corrupt  map[placement.Key]int // number of sound results of those holders whose copies are corrupt
+	corrupt  map[placement.Key]int // number of sound results, for the holders whose copies are corrupt
 }
 
-// restartReconciliation asks all other members for their inventories.
+// restartReconciliation starts a new round, in which all other members are asked for their inventories.
 func (m *StateMachine) restartReconciliation() {
 	m.inventoryRound++
 	m.reconciled = false
@@ -36,17 +36,17 @@
 	m.reconcile()
 }
 
-// requestInventories asks the members whose inventories are missing.
+// requestInventories requests the inventories that are missing in this round.
 func (m *StateMachine) requestInventories() {
 	m.inventoriesRequestedAt = m.env.Now()
 	m.eachOtherMember(func(other protocol.Process) {
-		if _, here := m.inventories[placement.KeyOf(other)]; !here {
+		if _, received := m.inventories[placement.KeyOf(other)]; !received {
 			m.env.Send(other, InventoryRequest{Stamp: m.stamp(), Round: m.inventoryRound})
 		}
 	})
 }
 
-// inventory lists all that this store holds.
+// inventory lists all batch jobs that this store holds.
 func (m *StateMachine) inventory(round uint64) InventoryResponse {
 	entries := make([]InventoryEntry, 0, len(m.jobs))
 	for _, j := range m.jobsInOrder {
@@ -60,7 +60,7 @@
 	}
 }
 
-// handleInventoryResponse takes in an inventory of the present round.
+// handleInventoryResponse records an inventory of the present round. Inventories of earlier rounds are ignored.
 func (m *StateMachine) handleInventoryResponse(from placement.Key, inventory InventoryResponse) {
 	if inventory.Round != m.inventoryRound || m.reconciled {
 		return
@@ -71,19 +71,19 @@
 	m.reconcile()
 }
 
-// awaitedInventories returns the members whose inventories are missing.
+// awaitedInventories returns the other members whose inventories are missing.
 func (m *StateMachine) awaitedInventories() []placement.Key {
 	var list []placement.Key
 	m.eachOtherMember(func(other protocol.Process) {
 		key := placement.KeyOf(other)
-		if _, here := m.inventories[key]; !here {
+		if _, received := m.inventories[key]; !received {
 			list = append(list, key)
 		}
 	})
 	return list
 }
 
-// reconcile decides who owns what, once all inventories are here.
+// reconcile decides who owns each batch job, once all inventories have been received.
 func (m *StateMachine) reconcile() {
 	if m.reconciled || !m.isMember {
 		return
@@ -103,7 +103,7 @@
 		}
 		if !m.isNewestVersion(all[id]) {
 			m.unowned++
-			continue // until departed stores are back
+			continue // until departed stores have returned
 		}
 		owner := m.designatedOwner(all[id])
 		if owner == m.self {
@@ -119,7 +119,7 @@
 	m.checkReconciled()
 }
 
-// mergeInventories merges the inventories with what is held here.
+// mergeInventories merges the inventories of the other members with that of this store.
 func (m *StateMachine) mergeInventories() map[string]*newestCopies {
 	all := make(map[string]*newestCopies, len(m.jobs))
 	for _, entry := range m.inventory(0).Entries {
@@ -133,7 +133,7 @@
 	return all
 }
 
-// mergeEntry takes in a holder's copy if it is of the highest version so far.
+// mergeEntry adds a holder's copy if its version is the highest so far.
 func mergeEntry(all map[string]*newestCopies, holder placement.Key, entry InventoryEntry) {
 	newest := all[entry.Job]
 	if newest == nil || newest.version < entry.Version {
@@ -149,8 +149,8 @@
 	}
 }
 
-// pruneOwners forgets the owners of batch jobs that nobody holds, except for those that have a vote of this
-// epoch.
+// pruneOwners removes the owners of batch jobs that no member holds, except for batch jobs for which this store has
+// given its vote in this epoch.
 func (m *StateMachine) pruneOwners(all map[string]*newestCopies) {
 	for id := range m.owners {
 		if _, reserved := m.reservations[id]; all[id] == nil && !reserved {
@@ -159,17 +159,18 @@
 	}
 }
 
-// isNewestVersion reports whether the highest version that members hold is the highest there is, though too
-// many stores departed. The owner's disk holds a new version first, and the owner is one of the set before
-// it: if that whole set is present without a higher version, there is none.
+// isNewestVersion reports whether the highest version that members hold is certainly the highest that exists, even if
+// too many stores have departed. An owner writes a new version to its own disk first, and the owner is a member of the
+// preceding set: if that whole set is active and holds no higher version, none exists.
 func (m *StateMachine) isNewestVersion(newest *newestCopies) bool {
 	return !m.tooManyDeparted() || m.allActive(newest.replicas)
 }
 
-// designatedOwner returns the owner of the highest version: the first of its replica set if that is a member,
-// as it had its copy on disk before it sent one; else the first that is a member and listed a copy. All
-// stores of an epoch come to the same answer, though their inventories aren't of one moment: within an epoch
-// only the owner raises the version, and its new set begins with itself.
+// designatedOwner returns the owner of the highest version. It is the first store of the replica set if that is a
+// member, because it had its copy on disk before it sent one; otherwise the first store of the set that is a member and
+// listed a copy, or if there is none the holder with the lowest key. All stores of an epoch reach the same result,
+// although their inventories were not taken at the same time: within an epoch only the owner raises the version, and
+// its new set begins with itself.
 func (m *StateMachine) designatedOwner(newest *newestCopies) placement.Key {
 	for i, replica := range newest.replicas {
 		key := placement.KeyOf(replica)
@@ -181,8 +182,8 @@
 	return slices.Min(newest.holders)
 }
 
-// checkReconciled records that this store has reconciled, once all that it owns is fully replicated in the
-// present epoch.
+// checkReconciled records that this store has reconciled in the present epoch, once all batch jobs that it owns are
+// fully replicated, none is unowned or being transferred, and no superseded copy awaits its release.
 func (m *StateMachine) checkReconciled() {
 	if !m.reconciled || !m.isMember || m.unowned > 0 || len(m.transfers) > 0 || m.reconciledEpoch == m.view.Epoch {
 		return
@@ -197,22 +198,22 @@
 	m.checkAllReconciled()
 }
 
-// revokeReconciled takes back that this store has reconciled in the present epoch.
+// revokeReconciled resets the record that this store has reconciled in the present epoch.
 func (m *StateMachine) revokeReconciled() {
 	if m.reconciledEpoch > 0 && m.reconciledEpoch == m.view.Epoch {
 		m.reconciledEpoch--
 	}
 }
 
-// sendReconciledNotice reports to the others how far this store has reconciled, and asks them the same if
-// something here waits for all members to reconcile.
+// sendReconciledNotice sends the other members the newest epoch in which this store has reconciled. If something here
+// waits for all members to reconcile, it asks them for theirs.
 func (m *StateMachine) sendReconciledNotice() {
 	m.departures.noticeSentAt = m.env.Now()
 	notice := ReconciledNotice{Stamp: m.stamp(), Settled: m.reconciledEpoch, Ask: m.awaitsAllReconciled()}
 	m.eachOtherMember(func(other protocol.Process) { m.env.Send(other, notice) })
 }
 
-// handleReconciledNotice takes in how far another member has reconciled.
+// handleReconciledNotice records the newest epoch in which another member has reconciled.
 func (m *StateMachine) handleReconciledNotice(from protocol.Process, notice ReconciledNotice) {
 	m.departures.reconciledEpochs[placement.KeyOf(from)] = notice.Settled
 	if notice.Ask {
@@ -221,13 +222,14 @@
 	m.checkAllReconciled()
 }
 
-// awaitsAllReconciled reports whether something here waits for all members to reconcile.
+// awaitsAllReconciled reports whether something here waits for all members to reconcile: incomplete logs, the
+// retirement of this store, or superseded copies.
 func (m *StateMachine) awaitsAllReconciled() bool {
 	return len(m.departures.incompleteLogs) > 0 || m.retiring ||
 		slices.ContainsFunc(m.jobsInOrder, func(j *storedJob) bool { return j.superseded })
 }
 
-// checkAllReconciled drops superseded copies and forgets incomplete logs, once all members have reconciled.
+// checkAllReconciled drops superseded copies and stops counting incomplete logs, once all members have reconciled.
 func (m *StateMachine) checkAllReconciled() {
 	if m.tooManyDeparted() || m.reconciledEpoch != m.view.Epoch || !m.awaitsAllReconciled() {
 		return
--- a/internal/batch/replica/record.go
+++ b/internal/batch/replica/record.go
@@ -8,20 +8,20 @@
 	"sprucelane.example/sprucelane/internal/protocol"
 )
 
-// How are the records of a store's log encoded?
+// This file contains the encoding of the records of a store's log.
 
-// The kinds of records, which are their first bytes. They are a stored format: values stay.
+// The kinds of records, which are their first bytes. They are part of the stored format: the values must not change.
 const (
-	recordCopy     = 1 // a whole batch job, in place of what was stored of it
+	recordCopy     = 1 // a whole batch job, which replaces an earlier copy
 	recordResult   = 2
 	recordEnded    = 3
-	recordReplicas = 4 // a new version's replica set
+	recordReplicas = 4 // a new version and its replica set
 	recordDropped  = 5
-	recordView     = 6 // the epoch acted in; of no batch job
+	recordView     = 6 // the epoch that the store acted in; doesn't belong to a batch job
 	recordProgress = 7 // events of an unfinished item
 )
 
-// encodeCopy encodes a whole batch job, which replaces what was stored of it.
+// encodeCopy encodes a whole batch job, which replaces an earlier copy.
 func encodeCopy(
 	id string, version Version, replicas []protocol.Process, ended bool, content []byte, results []Result,
 ) []byte {
@@ -43,7 +43,7 @@
 	return out
 }
 
-// encodeResult encodes a result at a position of a batch job's list. The result's text is last.
+// encodeResult encodes a result at a position of a batch job's list. The record ends with the result's text.
 func encodeResult(id string, position int, result *Result) []byte {
 	out := make([]byte, 0, len(result.Text)+len(id)+24)
 	out = append(out, recordResult)
@@ -52,10 +52,10 @@
 	return appendResult(out, result)
 }
 
-// encodeEnded encodes that a client ended a batch job.
+// encodeEnded encodes the record that a client ended a batch job.
 func encodeEnded(id string) []byte { return job.AppendString([]byte{recordEnded}, id) }
 
-// encodeDropped encodes that a batch job isn't stored any more.
+// encodeDropped encodes the record that a batch job isn't stored any more.
 func encodeDropped(id string) []byte { return job.AppendString([]byte{recordDropped}, id) }
 
 // encodeReplicas encodes a new version of a batch job with its replica set.
@@ -63,8 +63,8 @@
 	return appendReplicas(job.AppendString([]byte{recordReplicas}, id), version, replicas)
 }
 
-// encodeProgress encodes events of an unfinished item: those that follow the event with the id after, up to
-// the one with the id last.
+// encodeProgress encodes events of an unfinished item: the events that follow the event with the id after, up to and
+// including the event with the id last.
 func encodeProgress(id string, index int, after, last int64, events [][]byte) []byte {
 	record := job.AppendString([]byte{recordProgress}, id)
 	record = binary.AppendUvarint(record, uint64(index))
@@ -78,12 +78,12 @@
 	return record
 }
 
-// encodeView encodes the record of the view: the epoch acted in, since when this store has been a member, and the
-// findings that have been accounted for.
+// encodeView encodes the view record: the newest epoch that this store acted in, the epoch since which it has been a
+// member, and the findings that have been accounted for.
 func (m *StateMachine) encodeView() []byte { return m.findingPlaces.appendTo(m.departures.encode()) }
 
-// encode encodes the epoch acted in, and since when this store has been a member.
-// Earlier versions wrote the departed stores, too, in what is empty here.
+// encode encodes the newest epoch that this store acted in and the epoch since which it has been a member. The fields
+// that are empty here held the departed stores in earlier versions.
 func (d *departureSet) encode() []byte {
 	out := binary.AppendUvarint([]byte{recordView}, 0)
 	out = append(out, 0)
@@ -92,7 +92,7 @@
 	return binary.AppendUvarint(out, d.memberSince)
 }
 
-// skipKeys passes over a list of keys, which earlier versions wrote.
+// skipKeys skips a list of keys, which earlier versions wrote.
 func skipKeys(r *job.Decoder) {
 	count := r.Uvarint()
 	for i := uint64(0); i < count && !r.Failed; i++ {
@@ -125,7 +125,7 @@
 	return version, replicas
 }
 
-// appendResult appends a result; its text is last.
+// appendResult appends a result, which ends with its text.
 func appendResult(out []byte, result *Result) []byte {
 	out = binary.AppendUvarint(out, uint64(result.Item))
 	out = append(out, result.State)
@@ -146,8 +146,8 @@
 	return result
 }
 
-// locateCopy returns the locations of the content and of the results within a copy record that is being
-// written.
+// locateCopy returns the locations of the content and of the results within a copy record that is written at a
+// location.
 func locateCopy(record []byte, at wal.Location) (wal.Location, []storedResult) {
 	r := &job.Decoder{Remaining: record[1:]}
 	_ = r.Text()
@@ -163,12 +163,12 @@
 	return contentAt, results
 }
 
-// storedResultOf returns what is kept in memory of a result whose text is at a location.
+// storedResultOf returns the form of a result that is kept in memory, with the location of its text.
 func storedResultOf(result *Result, at wal.Location) storedResult {
 	return storedResult{item: int32(result.Item), state: job.State(result.State), at: at}
 }
 
-// locateRead returns the location of data that a decoder has just read from a record.
+// locateRead returns the location of data that a decoder has read last from a record.
 func locateRead(r *job.Decoder, data, record []byte, at wal.Location) wal.Location {
 	end := len(record) - len(r.Remaining)
 	return at.Part(uint32(end-len(data)), uint32(len(data)))
@@ -179,7 +179,7 @@
 	return at.Part(uint32(len(record)-len(data)), uint32(len(data)))
 }
 
-// boolByte encodes a flag.
+// boolByte encodes a bool as one byte, 1 or 0.
 func boolByte(set bool) byte {
 	if set {
 		return 1
--- a/internal/batch/replica/recovery.go
+++ b/internal/batch/replica/recovery.go
@@ -5,14 +5,15 @@
 	"sprucelane.example/sprucelane/internal/batch/wal"
 )
 
-// How does a start rebuild the state from the records of earlier incarnations, and what follows from records
-// that can't be used?
+// This file rebuilds the state at the start of a process from the records of earlier incarnations, and handles records
+// that can't be used.
 //
-// An unusable record never costs more than its own batch job: the sound prefix of its results stays, and the
-// copy counts as corrupt until a new one is written.
+// An unusable record affects only its own batch job: the sound prefix of that job's results is kept, and the copy
+// counts as corrupt until a new one is written.
 
-// Replay applies a record of the log of earlier incarnations, in order. An error is a *Finding: the record
-// can't be used. What follows from that is noted already, and the next record may be replayed.
+// Replay applies a record of the log of earlier incarnations. Records must be replayed in order. An error is a
+// *Finding: the record can't be used. The state machine has recorded the consequences, and the caller may replay the
+// next record.
 func (m *StateMachine) Replay(at wal.Location, record []byte) error {
 	finding := m.replay(at, record)
 	if finding == nil {
@@ -23,9 +24,9 @@
 	return finding
 }
 
-// ReplaySkipped says, between two records, that a part of the log between them can't be read at all. All
-// batch jobs stored so far count as corrupt, as records of each may be missing, also where none of theirs
-// follow.
+// ReplaySkipped is called between two records when a part of the log between them can't be read at all. All batch jobs
+// replayed so far count as corrupt, including those that have no further records, because records of each may be
+// missing.
 func (m *StateMachine) ReplaySkipped(at wal.Location) *Finding {
 	for _, j := range m.jobsInOrder {
 		j.corrupt = true
@@ -35,8 +36,8 @@
 	return finding
 }
 
-// Corruption returns the number of parts of the log that this start could not use, and of batch jobs that are
-// still corrupt because of them.
+// Corruption returns the number of findings in the log since the start of the process, and the number of batch jobs
+// whose copies are still corrupt.
 func (m *StateMachine) Corruption() (findings, corrupt int) {
 	for _, j := range m.jobsInOrder {
 		if j.corrupt {
@@ -46,11 +47,11 @@
 	return m.findings, corrupt
 }
 
-// noteFinding records what this store can't claim any more because of a record that can't be used.
+// noteFinding records the consequences of a finding: the log may be incomplete, and the copy of a batch job corrupt.
 func (m *StateMachine) noteFinding(finding *Finding) {
 	m.findings++
 	if finding.mayHideJobs() {
-		m.findingPlaces.note(finding.At)
+		m.findingPlaces.add(finding.At)
 		m.incompleteLog = m.findingPlaces.open()
 	}
 	if j := m.jobs[finding.Job]; j != nil && finding.corruptsJob() {
@@ -58,7 +59,7 @@
 	}
 }
 
-// replay applies a record, or returns why it can't be used.
+// replay applies a record, or returns a finding if it can't be used.
 func (m *StateMachine) replay(at wal.Location, record []byte) *Finding {
 	if len(record) == 0 {
 		return &Finding{Problem: ProblemKind}
@@ -100,11 +101,11 @@
 // replay applies a record that continues a copy.
 func (j *storedJob) replay(r *job.Decoder, at wal.Location, record []byte) *Finding {
 	if record[0] == recordEnded {
-		j.ended, j.endedDurable = true, true // of whichever copy: an end is final
+		j.ended, j.endedDurable = true, true // also if the copy that it continues is missing: an end is final
 		return nil
 	}
 	if j.corrupt {
-		return nil // it may continue a copy whose record is missing
+		return nil // the record may continue a copy whose record is missing
 	}
 	switch record[0] {
 	case recordResult:
@@ -126,7 +127,7 @@
 	return nil
 }
 
-// replayCopy stores a batch job in place of an earlier copy, up to its first result that can't be used.
+// replayCopy stores a batch job, replacing an earlier copy, with its results up to the first that can't be used.
 func (m *StateMachine) replayCopy(r *job.Decoder, id string, at wal.Location, record []byte) *Finding {
 	version, replicas := readReplicas(r)
 	ended := r.Take(1)
@@ -157,7 +158,7 @@
 	return nil
 }
 
-// replayResult lists a result if it is the next one.
+// replayResult appends a result if its position is the next one.
 func (j *storedJob) replayResult(r *job.Decoder, at wal.Location, record []byte) *Finding {
 	position := r.Uvarint()
 	result := readResult(r, record, at)
@@ -174,8 +175,8 @@
 	return nil
 }
 
-// replayProgress adds events that follow the known ones. Others are of a run that was given up, and are
-// ignored.
+// replayProgress adds events that follow the known ones. Events that don't follow them belong to an abandoned run, and
+// are ignored.
 func (j *storedJob) replayProgress(r *job.Decoder, at wal.Location, record []byte) *Finding {
 	item := r.Uvarint()
 	after, last := r.Varint(), r.Varint()
@@ -209,7 +210,7 @@
 	return nil
 }
 
-// replayView applies the record of the view, and what it says of findings before it.
+// replayView applies a view record, and the list of accounted findings in it.
 func (m *StateMachine) replayView(at wal.Location, record []byte) *Finding {
 	r := &job.Decoder{Remaining: record[1:]}
 	if finding := m.departures.replay(at, r); finding != nil {
@@ -226,7 +227,7 @@
 	return nil
 }
 
-// replay applies the record of the view.
+// replay applies the part of a view record that departureSet.encode wrote.
 func (d *departureSet) replay(at wal.Location, r *job.Decoder) *Finding {
 	skipKeys(r)
 	if !r.Failed && len(r.Remaining) > 0 { // the earliest versions end here
--- a/internal/batch/replica/repair.go
+++ b/internal/batch/replica/repair.go
@@ -1,12 +1,12 @@
 package replica
 
-// How is a corrupt copy replaced at its owner?
+// This file replaces an owner's corrupt copy.
 
-// rewriteCopy writes the sound part of a corrupt copy as a whole copy of a new version.
+// rewriteCopy writes the sound part of a corrupt copy as a full copy of the batch job's present version.
 func (m *StateMachine) rewriteCopy(j *storedJob) {
 	message := ReplicationRequest{}
 	if !m.fillFullCopy(j, &message, len(j.results)) {
-		return // its content or its results can't be read: calls wait and are rejected while this store owns it
+		return // the content or a result can't be read: while this store owns the batch job, calls wait and are rejected
 	}
 	j.corrupt = false
 	j.versionDurable = false
@@ -22,5 +22,5 @@
 		}
 	})
 	j.contentAt, j.results = locateCopy(record, at)
-	j.progress = nil // its locations are in segments that may be released now
+	j.progress = nil // the locations of the events are in segments that may be released now
 }
--- a/internal/batch/replica/replication.go
+++ b/internal/batch/replica/replication.go
@@ -8,12 +8,13 @@
 	"sprucelane.example/sprucelane/internal/protocol"
 )
 
-// How does an owner bring the other replicas up to its state, and when is a result committed?
+// This file contains the owner's side of replication: it brings the other replicas up to its state, and commits
+// results.
 
 const (
 	// replicationRetry is the time after which an unanswered request is sent again.
 	replicationRetry = 700 * time.Millisecond
-	// maxResultBytes limits the texts of one request's results; the last one may pass it.
+	// maxResultBytes limits the total length of the result texts in one request. The last result may exceed it.
 	maxResultBytes = 512 << 10
 )
 
@@ -32,7 +33,7 @@
 	m.notifyReplaced(j)
 }
 
-// replicateTo sends a peer what it lacks, unless an answer of it is awaited.
+// replicateTo sends a peer what it lacks, unless a response of the peer is awaited.
 func (m *StateMachine) replicateTo(j *storedJob, p *peer) {
 	now := m.env.Now()
 	if p.awaitsResponse && now-p.sentAt < replicationRetry {
@@ -40,7 +41,7 @@
 	}
 	message := ReplicationRequest{Stamp: m.stamp(), Job: j.id, Version: j.version}
 	switch {
-	case !p.reported: // an empty request asks for its state
+	case !p.reported: // an empty request asks for the peer's state
 	case !p.hasCopy:
 		if !m.fillFullCopy(j, &message, j.durableResults) {
 			return
@@ -59,8 +60,8 @@
 	m.env.Send(p.process, message)
 }
 
-// fillFullCopy adds the content and the first count results to a request. It reports whether they could be
-// read.
+// fillFullCopy adds the content, the replica set, the end and the first count results to a request. It reports whether
+// the content and the results could be read.
 func (m *StateMachine) fillFullCopy(j *storedJob, message *ReplicationRequest, count int) bool {
 	content := j.content
 	if content == nil {
@@ -81,8 +82,8 @@
 	return true
 }
 
-// fillResults adds durable results from a position on, up to maxResultBytes. It reports whether they could be
-// read.
+// fillResults adds durable results from a position on to a request, up to maxResultBytes. It reports whether they
+// could be read.
 func (m *StateMachine) fillResults(j *storedJob, message *ReplicationRequest, start int) bool {
 	message.Start = start
 	size := 0
@@ -97,7 +98,7 @@
 	return true
 }
 
-// result returns a listed result with its text.
+// result returns the result at a position with its text. It reports whether the text could be read.
 func (m *StateMachine) result(j *storedJob, position int) (Result, bool) {
 	if uncommitted := j.uncommitted[position]; uncommitted != nil {
 		return *uncommitted, true
@@ -110,7 +111,7 @@
 	return Result{Item: int(listed.item), State: byte(listed.state), Text: text}, true
 }
 
-// handleReplicationResponse takes in what is durable at a peer.
+// handleReplicationResponse handles a report of what is durable at another store.
 func (m *StateMachine) handleReplicationResponse(from placement.Key, message ReplicationResponse) {
 	m.checkTransferRejected(from, message)
 	if message.Stands {
@@ -138,21 +139,21 @@
 	}
 	p := j.peer(from)
 	if p == nil {
-		j.replaced = slices.DeleteFunc(j.replaced, func(one protocol.Process) bool { return placement.KeyOf(one) == from })
+		j.replaced = slices.DeleteFunc(j.replaced, func(process protocol.Process) bool { return placement.KeyOf(process) == from })
 		return
 	}
 	p.reported, p.awaitsResponse = true, false
 	p.failuresKnown = p.failuresSent
 	j.mergeFailures(message.Failures)
-	p.hasCopy = p.hasCopy || message.Held // what is on its disk stays there: a response that says less is an earlier one
+	p.hasCopy = p.hasCopy || message.Held // what is on a disk stays there: a response that reports less was sent earlier
 	p.durableResults = max(p.durableResults, message.Count)
 	p.ended = p.ended || message.Ended
 	m.maybeCommit(j)
 	m.replicateTo(j, p)
 }
 
-// maybeCommit advances what is committed to what is on all replicas, and answers the calls that waited for
-// it.
+// maybeCommit commits the results that are durable on all replicas, and answers the calls that waited for them or for
+// the end.
 func (m *StateMachine) maybeCommit(j *storedJob) {
 	if !j.owned || len(j.handoverReplicas) > 0 || len(j.replicas) < m.options.ReplicationFactor {
 		return
@@ -177,7 +178,7 @@
 	m.checkReconciled()
 }
 
-// onFullyReplicated starts to serve a batch job whose replicas all hold it.
+// onFullyReplicated starts to serve and run a batch job when all its replicas hold it.
 func (m *StateMachine) onFullyReplicated(j *storedJob) {
 	m.acknowledgeSubmissions(j)
 	if !j.ended && !j.allFinished() {
@@ -187,7 +188,7 @@
 	m.retryParkedCalls()
 }
 
-// resetPeer forgets what is known of the copies at a store that restarted: it may have found them corrupt.
+// resetPeer discards what is known of the copies at a store that restarted, because it may have found them corrupt.
 func (m *StateMachine) resetPeer(key placement.Key) {
 	for _, j := range m.jobsInOrder {
 		if p := j.peer(key); j.owned && p != nil {
--- a/internal/batch/replica/replicationmember.go
+++ b/internal/batch/replica/replicationmember.go
@@ -6,22 +6,22 @@
 	"sprucelane.example/sprucelane/internal/protocol"
 )
 
-// What does a replica do with what the owner sends?
+// This file contains the replica's side of replication.
 
-// handleReplicationRequest does what the owner sends, or answers a question of a store that takes this one
-// for the owner.
+// handleReplicationRequest applies a request of the owner, or answers a query of a store that assumes this store to be
+// the owner.
 func (m *StateMachine) handleReplicationRequest(from protocol.Process, message ReplicationRequest) {
 	j := m.jobs[message.Job]
 	if j != nil {
 		j.mergeFailures(message.Failures)
 	}
 	switch {
-	case j != nil && j.owned: // a store that is to release its copy asks whether the batch job is fully replicated
+	case j != nil && j.owned: // a store that wants to release its copy asks whether the batch job is fully replicated
 		m.sendReplicationResponse(j, from)
 	case j != nil && j.version == message.Version && !j.corrupt:
 		m.appendResults(j, from, message)
 	case j != nil && j.version > message.Version:
-		m.sendOwnerNotice(from, message.Job) // who has the newer version
+		m.sendOwnerNotice(from, message.Job) // the owner has the newer version
 	case message.Content == nil && j != nil && isReplacedBy(m.self, message):
 		m.noteSuperseded(j, placement.KeyOf(from))
 	case message.Content == nil: // no sound copy of that version is here
@@ -33,12 +33,12 @@
 	}
 }
 
-// isReplacedBy reports whether an owner's request tells of a set that a store isn't in.
+// isReplacedBy reports whether an owner's request has a replica set without the given store.
 func isReplacedBy(key placement.Key, message ReplicationRequest) bool {
 	return len(message.Replicas) > 0 && !placement.Contains(message.Replicas, key)
 }
 
-// installCopy writes a whole copy, in place of what was stored.
+// installCopy writes a full copy that an owner sent, replacing an earlier copy.
 func (m *StateMachine) installCopy(from protocol.Process, message ReplicationRequest) {
 	record := encodeCopy(message.Job, message.Version, message.Replicas, message.Ended, message.Content, message.Results)
 	j, err := newStoredJob(message.Content, wal.Location{})
@@ -67,7 +67,7 @@
 	m.owners[message.Job] = placement.KeyOf(from)
 }
 
-// appendResults adds results, and the end, to a copy of the same version.
+// appendResults adds the results and the end of an owner's request to a copy of the same version.
 func (m *StateMachine) appendResults(j *storedJob, from protocol.Process, message ReplicationRequest) {
 	for i := range message.Results {
 		position := message.Start + i
--- a/internal/batch/replica/reservation.go
+++ b/internal/batch/replica/reservation.go
@@ -7,18 +7,19 @@
 	"sprucelane.example/sprucelane/internal/protocol"
 )
 
-// How does a majority of arbiters let one store only accept a batch job's id?
+// This file contains the votes of arbiters: a store may accept a batch job's id only with a majority of them, so that
+// no two stores accept the same id.
 
 // reservationRetry is the time after which votes that may have been lost are requested again.
 const reservationRetry = 200 * time.Millisecond
 
-// reservation is an arbiter's vote.
+// reservation is an arbiter's vote for a store.
 type reservation struct {
 	store   placement.Key
-	attempt uint64 // newest of that store
+	attempt uint64 // newest attempt of that store
 }
 
-// requestReservations asks those arbiters for their votes that have not given them to this store.
+// requestReservations requests the votes of the arbiters that have not voted for this store.
 func (m *StateMachine) requestReservations(id string, a *acceptance) {
 	now := m.env.Now()
 	if !m.isMember || a.requestedAt > 0 && now-a.requestedAt < reservationRetry {
@@ -38,8 +39,8 @@
 	m.countVotes(id)
 }
 
-// vote answers, as an arbiter, who may accept a batch job: always the same store in one epoch, unless that
-// one gives the vote back.
+// vote returns, as an arbiter, which store may accept a batch job. Within an epoch this is always the same store,
+// unless that store releases the vote.
 func (m *StateMachine) vote(id string, requester placement.Key, number uint64) ReservationResponse {
 	answer := ReservationResponse{Stamp: m.stamp(), Job: id, Number: number, Owner: m.knownHolder(id)}
 	given, voted := m.reservations[id]
@@ -55,25 +56,26 @@
 	return answer
 }
 
-// handleReservationRequest votes, as an arbiter that is certain of what was accepted before.
+// handleReservationRequest answers with this store's vote, if this store is certain which store holds the batch job
+// or that none does.
 func (m *StateMachine) handleReservationRequest(from protocol.Process, message ReservationRequest) {
 	if !m.reconciled || !m.MayAct() {
 		return
 	}
-	if m.knownHolder(message.Job) != "" || !m.tooManyDeparted() { // else it may have been accepted by departed stores
+	if m.knownHolder(message.Job) != "" || !m.tooManyDeparted() { // otherwise departed stores may have accepted it
 		m.env.Send(from, m.vote(message.Job, placement.KeyOf(from), message.Number))
 	}
 }
 
-// handleReservationRelease takes a vote back, unless it was requested again since.
+// handleReservationRelease removes a vote, unless the store has requested it again in a later attempt.
 func (m *StateMachine) handleReservationRelease(from placement.Key, message ReservationRelease) {
 	if given := m.reservations[message.Job]; given.store == from && given.attempt <= message.Number {
 		delete(m.reservations, message.Job)
 	}
 }
 
-// handleReservationResponse takes a vote for the present attempt. One for an earlier attempt may have been
-// given back.
+// handleReservationResponse counts a vote for the present attempt. Votes for earlier attempts are ignored, as they may
+// have been released.
 func (m *StateMachine) handleReservationResponse(from placement.Key, message ReservationResponse) {
 	if a := m.acceptances[message.Job]; a != nil && a.attempt == message.Number {
 		a.votes[from] = message
@@ -81,8 +83,8 @@
 	}
 }
 
-// countVotes decides about an acceptance once the votes allow it. If several stores want to accept a batch
-// job at the same time, the one with the lowest key keeps asking, and the others give their votes back.
+// countVotes decides an acceptance as soon as the votes suffice. If several stores try to accept a batch job at the
+// same time, the store with the lowest key continues to request votes, and the others release theirs.
 func (m *StateMachine) countVotes(id string) {
 	a := m.acceptances[id]
 	if a == nil || !m.MayAct() {
@@ -117,7 +119,7 @@
 	}
 }
 
-// releaseReservations gives back the votes of an attempt under which nothing was written.
+// releaseReservations releases the votes of an attempt in which nothing was written.
 func (m *StateMachine) releaseReservations(id string, number uint64) {
 	message := ReservationRelease{Stamp: m.stamp(), Job: id, Number: number}
 	for _, arbiter := range placement.Arbiters(id, m.view, m.options.ReplicationFactor) {
--- a/internal/batch/replica/retention.go
+++ b/internal/batch/replica/retention.go
@@ -5,35 +5,36 @@
 	"time"
 )
 
-// When is a batch job forgotten, and which segments of the log may go?
+// This file drops expired batch jobs, and determines which segments of the log are still needed.
 
-// unansweredFactor is how many times the time for which a closed batch job is kept a copy is kept where other stores
-// don't answer what has become of it.
+// unansweredFactor multiplies the retention time of a copy (retentionTime) if other stores don't answer whether it may be
+// dropped.
 const unansweredFactor = 2
 
 // dropExpired drops batch jobs that needn't be kept any more.
 //
-// An owner drops a closed one once all replicas know that it is closed and no other store is left in this epoch that
-// may hold a copy without knowing. Stores outside of its set drop theirs when they know that it is closed. The
-// others ask the owner about expired copies (queryOwners) and drop them once it has none any more: they may lack the
-// end, and a replica that dropped its copy first would be sent another.
+// An owner drops a closed batch job once all replicas know that it is closed, and no other store of this epoch may hold
+// a copy without knowing it. Stores outside of the replica set drop their copies when they know that the batch job is
+// closed. The stores of all other copies ask the owner about expired ones (queryOwners) and drop them once the owner has
+// no copy any more: such a copy may lack the end, and if a replica dropped its copy first, the owner would send it
+// another.
 //
-// A store that was away may still return with a copy that lacks the end: it runs nothing, as the end is kept until no
-// store starts an item of the batch job any more (keepFor). Where some store doesn't answer, a copy is dropped after
-// twice that time.
+// A store that was absent may still return with a copy that lacks the end. It runs no item, because the end is kept
+// until no store starts an item of the batch job any more (retentionTime). If a store doesn't answer, a copy is dropped after
+// twice that time (unansweredFactor).
 func (m *StateMachine) dropExpired() {
 	for _, j := range slices.Clone(m.jobsInOrder) {
 		if !m.mayDrop(j) {
 			continue
 		}
 		m.discard(j)
-		m.reconciled = m.reconciled && m.unowned == 0 // if it was one that nobody owned, owners are decided anew
+		m.reconciled = m.reconciled && m.unowned == 0 // it may have been an unowned batch job: owners are decided anew
 	}
 }
 
 // mayDrop reports whether a batch job needn't be kept any more here.
 func (m *StateMachine) mayDrop(j *storedJob) bool {
-	kept, bounded := m.keepFor(j)
+	kept, bounded := m.retentionTime(j)
 	age := m.age(j)
 	if age < kept {
 		return false
@@ -47,10 +48,10 @@
 	return age >= unansweredFactor*kept
 }
 
-// keepFor returns for how long a closed batch job is kept: for Options.Retention, and at least until no store starts
-// its items any more. The end must not be forgotten sooner, as a store that was away when it was acknowledged may come
-// back with a copy that lacks it. bounded is false if items may run for ever.
-func (m *StateMachine) keepFor(j *storedJob) (kept time.Duration, bounded bool) {
+// retentionTime returns how long a closed batch job is kept: for Options.Retention, and at least until no store starts its
+// items any more. The end must not be dropped sooner, because a store that was absent when the end was acknowledged may
+// return with a copy that lacks it. bounded is false if items may run for ever.
+func (m *StateMachine) retentionTime(j *storedJob) (kept time.Duration, bounded bool) {
 	lifetime, known := m.env.ItemLifetime(j.route)
 	switch {
 	case !known:
@@ -66,13 +67,13 @@
 	return time.Duration(m.env.WallClock()-j.firstSent) * time.Millisecond
 }
 
-// isExpired reports whether a batch job needn't be kept any more, if it is closed.
+// isExpired reports whether a batch job has reached the age up to which it is kept if it is closed.
 func (m *StateMachine) isExpired(j *storedJob) bool {
-	kept, _ := m.keepFor(j)
+	kept, _ := m.retentionTime(j)
 	return m.age(j) >= kept
 }
 
-// discard drops a copy for good.
+// discard drops a copy permanently: it writes the drop to the log and redirects the calls that wait.
 func (m *StateMachine) discard(j *storedJob) {
 	m.write(encodeDropped(j.id), false, func() {})
 	m.redirectPending(j)
@@ -80,7 +81,8 @@
 	m.removeJob(j.id)
 }
 
-// OldestSegment returns the first segment of the log that something still needs, or limit if nothing does.
+// OldestSegment returns the oldest segment of the log that is still needed, or limit if no segment before it is. If only
+// the view record needs that segment, it also writes a new view record, so that the segment can be released later.
 func (m *StateMachine) OldestSegment(limit uint32) uint32 {
 	oldest := limit
 	for _, j := range m.jobsInOrder {
@@ -88,7 +90,7 @@
 	}
 	if at := m.departures.viewRecordAt; at != nil && at.Segment < oldest {
 		oldest = at.Segment
-		m.writeViewRecord() // behind the segments that may go
+		m.writeViewRecord() // to a segment that isn't released yet
 	}
 	return oldest
 }
--- a/internal/batch/replica/serve.go
+++ b/internal/batch/replica/serve.go
@@ -11,19 +11,19 @@
 	"sprucelane.example/sprucelane/internal/protocol"
 )
 
-// What does the owner answer to reads, item bodies and ends?
+// This file contains the owner's answers to reads of results, reads of item bodies and ends.
 
 const (
-	// maxReadWait is the longest time that a read waits for a result.
+	// maxReadWait is the maximum time that a read waits for a result.
 	maxReadWait = time.Second
-	// maxPageBytes is the largest body of an answer with more than one result.
+	// maxPageBytes is the maximum size of the body of an answer with more than one result.
 	maxPageBytes = 1<<20 - 4<<10
 
 	contentJSON   = "application/json"
 	contentBinary = "application/octet-stream"
 )
 
-// serveRead answers with results, or has the call wait until there is one.
+// serveRead answers a read with results, or lets it wait until there is one.
 func (m *StateMachine) serveRead(j *storedJob, p parkedCall) {
 	start := max(p.call.Start, 0)
 	wait := min(time.Duration(p.call.WaitMs)*time.Millisecond, maxReadWait)
@@ -34,7 +34,7 @@
 	m.answerRead(j, p.callID, start)
 }
 
-// answerReads answers the waiting reads that there are results for.
+// answerReads answers the waiting reads for which there are results, or all of them if the batch job has ended.
 func (m *StateMachine) answerReads(j *storedJob) {
 	if len(j.pendingReads) == 0 {
 		return
@@ -50,7 +50,8 @@
 	}
 }
 
-// answerRead answers with the committed results from a position on, as many as fit.
+// answerRead answers a read with the committed results from a position on, as many as fit in maxPageBytes and at least
+// one if there is one.
 func (m *StateMachine) answerRead(j *storedJob, id CallID, start int) {
 	body := make([]byte, 0, 4<<10)
 	body = append(body, `{"total":`...)
@@ -82,7 +83,7 @@
 	m.answer(id, protocol.BatchAnswer{Status: http.StatusOK, Body: body, ContentType: contentJSON})
 }
 
-// expireReads ends reads whose time is over.
+// expireReads answers the waiting reads that are past their deadlines.
 func (m *StateMachine) expireReads(j *storedJob, now time.Duration) {
 	if !slices.ContainsFunc(j.pendingReads, func(r pendingRead) bool { return now >= r.deadline }) {
 		return
@@ -112,8 +113,7 @@
 	return append(body, '}')
 }
 
-// appendJSON appends a string as JSON. Plain text, which is the usual case, is copied without a call of
-// encoding/json.
+// appendJSON appends a string as JSON. Plain text, which is the usual case, is copied without calling encoding/json.
 func appendJSON(body []byte, text string) []byte {
 	for i := range len(text) {
 		if c := text[i]; c < 0x20 && c != '\n' || c == '"' || c == '\\' || c >= 0x7f {
@@ -132,7 +132,8 @@
 	return append(body, '"')
 }
 
-// serveBody answers with an item's body until its result is committed or the batch job ended.
+// serveBody answers with an item's body, or with notFound once the item's result is committed or the batch job has
+// ended.
 func (m *StateMachine) serveBody(j *storedJob, p parkedCall) {
 	index := slices.IndexFunc(j.items, func(i storedItem) bool { return i.id == p.call.Item })
 	if index < 0 || j.ended || m.isCommitted(j, index) {
@@ -165,8 +166,7 @@
 	return false
 }
 
-// serveEnd ends a batch job: no further item starts here, and the call is answered once the end is on all
-// replicas.
+// serveEnd ends a batch job. No further item starts here, and the call is answered once the end is on all replicas.
 func (m *StateMachine) serveEnd(j *storedJob, id CallID) {
 	j.pendingEnds = append(j.pendingEnds, id)
 	if j.ended {
@@ -183,7 +183,7 @@
 	m.answerReads(j)
 }
 
-// acknowledgeEnds answers the ends of a batch job.
+// acknowledgeEnds answers all waiting ends of a batch job.
 func (m *StateMachine) acknowledgeEnds(j *storedJob) {
 	for _, id := range j.pendingEnds {
 		m.answer(id, protocol.BatchAnswer{Status: http.StatusOK})
--- a/internal/batch/replica/slowreplicas.go
+++ b/internal/batch/replica/slowreplicas.go
@@ -7,29 +7,30 @@
 	"sprucelane.example/sprucelane/internal/protocol"
 )
 
-// How does an acceptance get past replicas that don't write in time?
+// This file replaces replicas of new batch jobs that don't confirm their copies in time.
 //
-// They may be down, partitioned or paused and still in the view, or have slow disks, while a client waits.
+// Such stores may be down, partitioned or paused while they are still in the view, or have slow disks. Meanwhile a
+// client waits for the acceptance.
 
 const (
-	// replaceReplicasAfter is the time within which each replica must confirm a new batch job before it is
-	// replaced.
+	// replaceReplicasAfter is the time after which a replica that has not confirmed a new batch job is replaced.
 	replaceReplicasAfter = 80 * time.Millisecond
-	// slowPenalty is for how long a store that was replaced isn't chosen for new batch jobs.
+	// slowPenalty is how long a store that was replaced isn't chosen for new batch jobs.
 	slowPenalty = 1500 * time.Millisecond
-	// maxNewJobs is how many of the newest batch jobs may still be waiting for replicas, as NeedsFastTick
-	// assumes.
+	// maxNewJobs is the number of newest batch jobs that NeedsFastTick checks. It assumes that no older ones still
+	// wait for replicas.
 	maxNewJobs = 32
-	// maxDiskLag is the time a record may wait for this store's own disk before it accepts no new batch jobs.
+	// maxDiskLag is the time for which a record may wait for this store's own disk. While one waits longer, the store
+	// accepts no new batch jobs.
 	maxDiskLag = 150 * time.Millisecond
 )
 
-// diskLags reports whether this store's disk is behind.
+// diskLags reports whether the oldest pending write waits for longer than maxDiskLag.
 func (m *StateMachine) diskLags() bool {
 	return len(m.pendingWrites) > 0 && m.env.Now()-m.pendingWrites[0].queuedAt > maxDiskLag
 }
 
-// slowStores lists the stores that aren't chosen for new batch jobs.
+// slowStores lists the stores that are not chosen for new batch jobs at present because they were slow.
 func (m *StateMachine) slowStores() []placement.Key {
 	var keys []placement.Key
 	now := m.env.Now()
@@ -41,7 +42,7 @@
 	return keys
 }
 
-// NeedsFastTick reports whether a client waits for an acceptance, so that Tick should be called more often.
+// NeedsFastTick reports whether Tick should be called more often, because a client waits for an acceptance.
 func (m *StateMachine) NeedsFastTick() bool {
 	if len(m.acceptances) > 0 {
 		return true
@@ -54,9 +55,9 @@
 	return false
 }
 
-// replaceSlowReplicas chooses another replica set for a batch job that is being accepted, if members have not
-// confirmed it in time and there are others. The version rises: what the replaced ones may still write counts
-// for nothing.
+// replaceSlowReplicas chooses another replica set for a new batch job, if members have not confirmed it in time and
+// other stores are available. The set gets a higher version, so that copies which the replaced stores may still write
+// don't count.
 func (m *StateMachine) replaceSlowReplicas(j *storedJob, now time.Duration) {
 	if j.replaceReplicasAt == 0 || now < j.replaceReplicasAt {
 		return
@@ -76,7 +77,7 @@
 	replicas := placement.Replicas(j.id, m.view, kept, m.options.ReplicationFactor, m.slowStores()...)
 	for _, replica := range replicas {
 		if until, slow := m.slowUntil[placement.KeyOf(replica)]; slow && now < until {
-			return // there are no other stores
+			return // no other stores are available
 		}
 	}
 	if len(replicas) < m.options.ReplicationFactor || len(kept) == m.options.ReplicationFactor {
--- a/internal/batch/replica/statemachine.go
+++ b/internal/batch/replica/statemachine.go
@@ -7,21 +7,21 @@
 	"sprucelane.example/sprucelane/internal/protocol"
 )
 
-// What is the state of one store's part, and when may it act?
+// This file contains the state of one store's part in the protocol, and the lease that allows it to act.
 
-// Options are constants of a state machine.
+// Options configures a StateMachine. The values don't change after New.
 type Options struct {
-	Self protocol.Process // its Incarnation is that of the disk
-	// ProcessIncarnation rises with each start of the process on the same disk. Others discard what an earlier
-	// incarnation promised without writing it.
+	Self protocol.Process // its Incarnation identifies the disk
+	// ProcessIncarnation rises with each start of the process on the same disk. Other stores discard the promises
+	// of an earlier incarnation that it had not written to its log.
 	ProcessIncarnation uint64
-	// ReplicationFactor is the number of disks that each batch job is on: f + 1, where f may be lost at once.
+	// ReplicationFactor is the number of disks that store each batch job: f + 1, where f disks may be lost at once.
 	ReplicationFactor int
-	// Retention is for how long a batch job is kept, counted from its first submission by the time of day. A
-	// longer one lets clients read results later and takes more disk.
+	// Retention is how long a batch job is kept, counted from its first submission by the time of day. A longer
+	// Retention lets clients read results later and takes more disk space.
 	Retention    time.Duration
-	MinFreeBytes int64 // bytes of disk that a new batch job must leave free
-	MaxJobs      int   // most batch jobs to store, 0 for no limit
+	MinFreeBytes int64 // bytes of disk space that must stay free when a batch job is accepted
+	MaxJobs      int   // maximum number of stored batch jobs, 0 for no limit
 }
 
 // StateMachine is one store's part in the replication of batch jobs. Its methods must not be called
@@ -31,28 +31,28 @@
 	env     Environment
 	self    placement.Key
 
-	// The newest view, and the right to act in it.
+	// The newest view, and the lease that allows this store to act in it.
 	view       protocol.StoreView
 	isMember   bool          // this store is in the view
-	retiring   bool          // this store is to be emptied
+	retiring   bool          // this store's member state isn't active: it hands its batch jobs over
 	leaseUntil time.Duration // by Environment.Now
 
 	// Reconciliation in the present epoch.
-	inventoryRound         uint64 // answers to requests of an earlier round are ignored
-	reconciled             bool   // all inventories are here, and owners are known
-	unowned                int    // batch jobs that no member may own until departed stores are back
+	inventoryRound         uint64 // inventories of an earlier round are ignored
+	reconciled             bool   // all inventories have been received, and owners are known
+	unowned                int    // number of batch jobs that no member may own until departed stores have returned
 	inventoriesRequestedAt time.Duration
 	inventories            map[placement.Key]InventoryResponse
 	incarnations           map[placement.Key]uint64     // newest process incarnation seen of each store
-	transfers              map[string]ownershipTransfer // batch jobs that this store would own, and transferred to others
+	transfers              map[string]ownershipTransfer // batch jobs whose designated owner this store is, and that it transferred
 	reconciledEpoch        uint64                       // newest epoch in which this store had reconciled
 
 	jobs        map[string]*storedJob
-	jobsInOrder []*storedJob             // the same, in the order in which they came
-	owners      map[string]placement.Key // of batch jobs that this store doesn't own
+	jobsInOrder []*storedJob             // the values of jobs, in the order in which they were first stored
+	owners      map[string]placement.Key // owners of batch jobs that this store doesn't own
 
-	reservations map[string]reservation // votes as arbiter, in the present epoch
-	lastAttempt  uint64                 // to accept a batch job
+	reservations map[string]reservation // this store's votes as an arbiter in the present epoch, by batch job
+	lastAttempt  uint64                 // number of the latest attempt to accept a batch job
 	acceptances  map[string]*acceptance
 	claims       claims
 	lookups      map[string]*lookup
@@ -60,18 +60,18 @@
 	parkedCalls  []parkedCall
 
 	pendingWrites []pendingWrite
-	slowUntil     map[placement.Key]time.Duration // until when slow stores are not chosen
+	slowUntil     map[placement.Key]time.Duration // time until which a slow store is not chosen as a replica
 	departures    departureSet
 	lastExpiry    time.Duration
 
-	findings      int  // records of the log that could not be used at the start
-	incompleteLog bool // because of them, this store may lack batch jobs that it can't name
+	findings      int  // number of findings (unusable records and unreadable parts) in the replayed log
+	incompleteLog bool // because of findings, this store may lack batch jobs that it can't name
 	findingPlaces accountedFindings
 	violations    Violations // since the start of the process
 }
 
-// New returns a state machine without batch jobs. The records of its log must be replayed (Replay) before
-// anything else is called.
+// New returns a StateMachine without batch jobs. The records of its log must be replayed (Replay) before any
+// other method is called.
 func New(options Options, env Environment) *StateMachine {
 	return &StateMachine{
 		options: options, env: env,
@@ -95,10 +95,10 @@
 	}
 }
 
-// GrantLease renews the right to act as a member of the view of an epoch until a time of Environment.Now,
-// which the caller counts from when it asked for the lease. A lease for a later epoch than that of the view
-// known here is ignored: this store may have been out of the set in between, and others may have taken over
-// what it owned.
+// GrantLease extends the lease, which allows this store to act as a member of the view of an epoch, until a time
+// of Environment.Now. The caller counts the time from when it requested the lease. A lease for a later epoch than
+// that of the view known here is ignored: this store may have been out of the set in between, and other stores
+// may have taken over the batch jobs that it owned. If member is false, the lease ends at once.
 func (m *StateMachine) GrantLease(epoch uint64, member bool, until time.Duration) {
 	switch {
 	case !member:
@@ -108,8 +108,8 @@
 	}
 }
 
-// MayAct reports whether this store is a member with a running lease. It is checked right before anything
-// leaves that depends on it.
+// MayAct reports whether this store is a member with a running lease. It is checked immediately before anything
+// that depends on the lease is sent.
 func (m *StateMachine) MayAct() bool { return m.isMember && m.env.Now() < m.leaseUntil }
 
 // CurrentView returns the newest view known here.
@@ -118,11 +118,11 @@
 // Epoch returns the epoch of the newest view known here.
 func (m *StateMachine) Epoch() uint64 { return m.view.Epoch }
 
-// ActedIn returns the epoch of the newest view that this store acted in, in earlier incarnations as well, as
-// far as its log shows.
+// ActedIn returns the epoch of the newest view that this store acted in. It includes earlier incarnations, as far
+// as the log has their epochs.
 func (m *StateMachine) ActedIn() uint64 { return m.departures.actedEpoch }
 
-// eachOtherMember calls a function for each other member of the view that may hold replicas.
+// eachOtherMember calls a function for each other member of the view that isn't retired, and so may hold replicas.
 func (m *StateMachine) eachOtherMember(call func(protocol.Process)) {
 	for _, member := range m.view.Members {
 		if member.State != protocol.StoreRetired && placement.KeyOf(member.Process) != m.self {
--- a/internal/batch/replica/superseded.go
+++ b/internal/batch/replica/superseded.go
@@ -8,14 +8,15 @@
 	"sprucelane.example/sprucelane/internal/protocol"
 )
 
-// When may a copy of an older version be dropped?
+// This file contains the release of copies: superseded copies, and copies at stores that aren't needed any more.
 
-// expiredQueryInterval is the time between questions about an expired copy. Nothing waits for the answer but its
-// bytes, and a batch job whose items may run for ever can be open for long after it has expired.
+// expiredQueryInterval is the time between queries about an expired copy. The answer isn't urgent, as it only frees the
+// bytes of the copy, and a batch job whose items may run for ever can be open for long after it has expired.
 const expiredQueryInterval = 5 * time.Second
 
-// queryOwners asks owners whether their sets are fully replicated, so that the copies here can be released:
-// of all copies while this store retires, else of superseded and of expired ones: an expired one may lack the end.
+// queryOwners asks owners whether their sets are fully replicated, so that the copies here can be released. It asks
+// about all copies while this store retires, otherwise about superseded and expired copies. An expired copy may lack
+// the end.
 func (m *StateMachine) queryOwners() {
 	now := m.env.Now()
 	for _, j := range m.jobsInOrder {
@@ -31,7 +32,8 @@
 	}
 }
 
-// ownerQueryInterval returns how often the owner is asked about a copy; due is false if there is nothing to ask.
+// ownerQueryInterval returns the interval at which the owner is asked about a copy. due is false if it needn't be
+// asked.
 func (m *StateMachine) ownerQueryInterval(j *storedJob) (interval time.Duration, due bool) {
 	expired := m.isExpired(j)
 	if j.awaitsRelease() || j.superseded && expired || m.retiring && !j.handedOver {
@@ -40,10 +42,10 @@
 	return expiredQueryInterval, expired
 }
 
-// noteReplicatedElsewhere takes the owner's confirmation that a batch job is on all of its replicas: nothing
-// of it depends on this store any more. It must be the owner's own, of this epoch. The ReconciledNotices of
-// all stores aren't of one moment: an owner that has just taken over may have reported before that it had
-// reconciled.
+// noteReplicatedElsewhere handles the owner's confirmation that a batch job is on all of its replicas, so that the copy
+// here isn't needed any more. The confirmation must be the owner's own, of this epoch. ReconciledNotices of all stores
+// don't suffice, because they are not sent at the same time: a store that has just become the owner may have reported
+// earlier that it had reconciled.
 func (m *StateMachine) noteReplicatedElsewhere(from placement.Key, id string) {
 	if transfer, pending := m.transfers[id]; pending && transfer.to == from {
 		delete(m.transfers, id)
@@ -55,9 +57,9 @@
 	m.checkAllReconciled()
 }
 
-// notifyReplaced tells the stores that left the replica set in this epoch of the newer version, until they have no
-// copy. A view that changes tells them by its inventories; within an epoch nobody else does, and a copy that isn't
-// known to be superseded stays behind and may be the last one.
+// notifyReplaced notifies the stores that left the replica set in this epoch of the newer version, until they have no
+// copy. After a change of the view these stores learn it from the inventories; within an epoch no other message tells
+// them. A copy that isn't known to be superseded would be kept, and might be the last one.
 func (m *StateMachine) notifyReplaced(j *storedJob) {
 	now := m.env.Now()
 	if now < j.notifyReplacedAt || !m.awaitsReplaced(j) {
@@ -77,8 +79,8 @@
 	})
 }
 
-// noteSuperseded takes the owner's notice of a newer version than the copy here, which isn't a replica any more. It
-// isn't answered: the owner keeps the batch job until this copy has been released.
+// noteSuperseded handles the owner's notice that a newer version exists, whose set doesn't include this store. It sends
+// no response, so that the owner keeps the batch job until this copy has been released.
 func (m *StateMachine) noteSuperseded(j *storedJob, owner placement.Key) {
 	if _, present := placement.MemberOf(m.view, owner); present && owner != m.self {
 		m.owners[j.id] = owner
@@ -86,15 +88,15 @@
 	j.superseded = true
 }
 
-// expiredAtOwner reports whether the owner of a batch job of which a copy is here has dropped it, as it expired. The
-// copy here may not know that the batch job was ended. An owner that has nothing of it had it in this epoch, as it
-// listed it or was designated by the inventory of this store.
+// expiredAtOwner reports whether the owner has dropped a batch job because it expired, while a copy is still here. The
+// copy here may lack the end. An owner that has no copy now had one earlier in this epoch, as it listed one or
+// was designated by the inventory of this store.
 func (m *StateMachine) expiredAtOwner(j *storedJob, from placement.Key, message ReplicationResponse) bool {
 	return !j.owned && from == m.owners[j.id] && message.None && m.isExpired(j)
 }
 
-// dropSuperseded drops releasable copies. One that is kept for longer than the newer ones could be taken for
-// the newest later, though the batch job was ended.
+// dropSuperseded drops releasable copies. A superseded copy that is kept for longer than the newer ones could later be
+// taken for the newest, although the batch job was ended.
 func (m *StateMachine) dropSuperseded() {
 	for _, j := range slices.Clone(m.jobsInOrder) {
 		if j.superseded && !j.owned && j.releasable {
--- a/internal/batch/replica/tick.go
+++ b/internal/batch/replica/tick.go
@@ -2,12 +2,13 @@
 
 import "time"
 
-// What happens by time alone?
+// This file contains the periodic work of a store.
 
-// expiryInterval is the time between looks for what has expired.
+// expiryInterval is the time between checks for expired departures and batch jobs.
 const expiryInterval = time.Second
 
-// Tick must be called a few times a second, and more often while NeedsFastTick.
+// Tick does the work that is due by time. It must be called a few times a second, and more often while NeedsFastTick
+// returns true.
 func (m *StateMachine) Tick() {
 	now := m.env.Now()
 	m.expireCalls(now)
@@ -39,6 +40,6 @@
 		m.lastExpiry = now
 		m.expireDeparted(now)
 		m.dropExpired()
-		m.checkReconciled() // what was not fully replicated may have expired
+		m.checkReconciled() // batch jobs that were not fully replicated may have expired
 	}
 }
--- a/internal/batch/replica/view.go
+++ b/internal/batch/replica/view.go
@@ -5,10 +5,10 @@
 	"sprucelane.example/sprucelane/internal/protocol"
 )
 
-// What follows when the agreed set of stores changes?
+// This file installs the views on which the control processes have agreed.
 
-// InstallView enters a newer view, or takes in that all members have reconciled in the present one. Older
-// views are ignored.
+// InstallView enters a newer view, or records that all members have reconciled in the present one. Older views are
+// ignored.
 func (m *StateMachine) InstallView(view protocol.StoreView) {
 	if !view.Newer(m.view) || m.viewHasEnded(view) {
 		return
@@ -21,14 +21,14 @@
 	m.enterEpoch(view)
 }
 
-// viewHasEnded reports whether this store acted in a later view, as its log shows after a restart. A control
-// process that lags behind may still send the earlier one.
+// viewHasEnded reports whether this store has acted in a later view than the given one, possibly before a restart. A
+// control process that lags behind may still send the earlier view.
 func (m *StateMachine) viewHasEnded(view protocol.StoreView) bool {
 	return view.Epoch < m.departures.actedEpoch
 }
 
-// noteAllReconciled takes in that all members have reconciled in the present epoch, so that no store that
-// departed before is missed.
+// noteAllReconciled records that all members have reconciled in the present epoch, so that stores that departed before
+// don't count any more.
 func (m *StateMachine) noteAllReconciled(view protocol.StoreView) {
 	tooMany := m.tooManyDeparted()
 	m.view = view
@@ -38,8 +38,8 @@
 	}
 }
 
-// enterEpoch installs the view of another epoch. Ownership carries over only from the epoch right before,
-// and only where all replicas are still active members; everything else waits for reconciliation.
+// enterEpoch installs the view of a later epoch. Ownership of a batch job carries over only from the immediately
+// preceding epoch, and only if all replicas are still active members; all other batch jobs wait for reconciliation.
 func (m *StateMachine) enterEpoch(view protocol.StoreView) {
 	last, wasPresent := m.view, m.isMember
 	m.view = view
@@ -55,7 +55,7 @@
 		if j.owned && !(consecutive && m.hasActiveReplicas(j)) {
 			m.disown(j)
 		}
-		j.replaced = nil // all inventories are exchanged, which tell the same
+		j.replaced = nil // all inventories are exchanged, which inform the replaced stores
 		if !present {
 			m.failPendingCalls(j)
 		}
@@ -86,7 +86,7 @@
 	return m.allActive(j.replicas)
 }
 
-// allActive reports whether stores are active members of the present view.
+// allActive reports whether all given stores are active members of the present view.
 func (m *StateMachine) allActive(stores []protocol.Process) bool {
 	for _, store := range stores {
 		member, present := placement.MemberOf(m.view, placement.KeyOf(store))
@@ -97,8 +97,8 @@
 	return true
 }
 
-// disown gives up a batch job until its owner is known. Items that run may end, and are taken if this store
-// becomes its owner again.
+// disown ends this store's ownership of a batch job until its owner is known. Running items may finish, and their
+// results are accepted if this store becomes the owner again.
 func (m *StateMachine) disown(j *storedJob) {
 	j.owned, j.replicated = false, false
 	j.handoverReplicas = nil
@@ -106,8 +106,8 @@
 	j.replaceReplicasAt = 0
 }
 
-// failPendingCalls stops what this store does for a batch job, as it isn't a member any more. Whether waiting
-// submissions and ends took effect is not known here.
+// failPendingCalls stops the items of a batch job and answers its waiting submissions and ends, because this store
+// isn't a member any more. It doesn't know whether those took effect, and answers so.
 func (m *StateMachine) failPendingCalls(j *storedJob) {
 	m.env.Stop(j.id)
 	m.answerSubmissionsAndEnds(j, outcomeUnknown())
--- a/internal/batch/replica/writes.go
+++ b/internal/batch/replica/writes.go
@@ -6,7 +6,7 @@
 	"sprucelane.example/sprucelane/internal/batch/wal"
 )
 
-// When is a record durable, and what waits for it?
+// This file keeps track of records that aren't durable yet, and calls the functions that wait for them.
 
 // pendingWrite is a record that isn't durable yet.
 type pendingWrite struct {
@@ -22,7 +22,7 @@
 	return at
 }
 
-// Synced says that all records up to a sequence number are durable.
+// Synced is called when all records up to and including a sequence number are durable.
 func (m *StateMachine) Synced(sequence uint64) {
 	for len(m.pendingWrites) > 0 && m.pendingWrites[0].sequence <= sequence {
 		then := m.pendingWrites[0].onDurable
@@ -35,7 +35,7 @@
 	}
 }
 
-// afterPendingWrites calls a function once all records that were queued so far are durable.
+// afterPendingWrites calls a function once all records queued so far are durable, at once if there are none.
 func (m *StateMachine) afterPendingWrites(then func()) {
 	if len(m.pendingWrites) == 0 {
 		then()
