--- a/internal/batch/replica/campaign_test.go
+++ b/internal/batch/replica/campaign_test.go
@@ -10,13 +10,13 @@
 	"sprucelane.example/sprucelane/internal/protocol"
 )
 
-// Campaigns of faults in a simulation under random load: one fault after the other, within what must be
-// tolerated at once.
+// This file contains campaigns: simulations under random load into which faults are injected one after the other, never
+// more at once than must be tolerated.
 
 const (
-	loadDuration = 30 * time.Second // under load, with faults
+	loadDuration = 30 * time.Second // time under load, with faults
 	catchUpTime  = 4800 * time.Millisecond
-	recoveryTime = 12 * time.Second // after the last fault, in which all must recover
+	recoveryTime = 12 * time.Second // time after the last fault in which all stores must recover
 	auditTime    = 6 * time.Second
 	maxStores    = 9
 )
@@ -25,11 +25,11 @@
 type campaign struct {
 	*storeSimulation
 	tolerance   int
-	impatient   bool // the next fault comes as soon as the stores have reconciled
+	earlyFaults bool // the next fault may be injected as soon as the stores have reconciled
 	submitted   int
 	faults      int
-	recoveredAt time.Duration // when all that was lost is back
-	onlyFaults  []string      // faults that are injected; empty for all
+	recoveredAt time.Duration // when all lost stores have returned
+	onlyFaults  []string      // names of the faults that are injected; empty for all
 }
 
 // The faults.
@@ -51,7 +51,7 @@
 	faultCorruption    = "corrupt logs"
 )
 
-// fault is injected into some stores, which are as many as may be lost, for a time.
+// fault is a kind of fault. inject applies it for a duration to some stores, no more than may be lost at once.
 type fault struct {
 	name   string
 	inject func(lost []*simulatedStore, down time.Duration)
@@ -74,10 +74,10 @@
 	if seed%6 == 4 {
 		sim.tokenLimit = testTokenLimit
 	}
-	return &campaign{storeSimulation: sim, tolerance: tolerance, impatient: seed%2 == 0}
+	return &campaign{storeSimulation: sim, tolerance: tolerance, earlyFaults: seed%2 == 0}
 }
 
-// runSeed runs a campaign and returns what it broke. If faults are named, only these are injected.
+// runSeed runs a campaign and returns its first failure. If faults are named, only these are injected.
 func runSeed(seed uint64, bug string, faults ...string) (c *campaign, err error) {
 	defer func() {
 		if caught := recover(); caught != nil {
@@ -90,7 +90,7 @@
 	return c, c.failure
 }
 
-// run injects faults under load, heals them, and audits the result.
+// run injects faults under load, ends them, and audits the result.
 func (c *campaign) run() {
 	c.runUntil(1500 * time.Millisecond)
 	c.submitJobs()
@@ -99,7 +99,7 @@
 	c.finish()
 }
 
-// finish runs the campaign to its end, without further faults, and checks what is left.
+// finish runs the campaign until the load ends, ends all faults, and audits the result after the recovery.
 func (c *campaign) finish() {
 	c.runUntil(loadDuration)
 	c.heal()
@@ -107,7 +107,7 @@
 	c.audit()
 }
 
-// submitJobs submits batch jobs all the time.
+// submitJobs submits batch jobs at random intervals until the faults end.
 func (c *campaign) submitJobs() {
 	if c.faultsEnded {
 		return
@@ -117,7 +117,7 @@
 	c.schedule(c.randomDuration(100*time.Millisecond, 2*time.Second), c.submitJobs)
 }
 
-// injectFault injects one fault, and the next when that is over.
+// injectFault injects one fault, and the next after it is over.
 func (c *campaign) injectFault() {
 	if c.faultsEnded || c.now > loadDuration-2*time.Second {
 		return
@@ -137,7 +137,7 @@
 	c.schedule(c.randomDuration(0, down), c.nextFault)
 }
 
-// extendRecovery notes that what was lost is back only after a time.
+// extendRecovery records that lost stores return only after a duration.
 func (c *campaign) extendRecovery(down time.Duration) { c.recoveredAt = max(c.recoveredAt, c.now+down) }
 
 // nextFault injects the next fault once it has to be tolerated.
@@ -149,13 +149,13 @@
 	c.schedule(20*time.Millisecond, c.nextFault)
 }
 
-// toleratesNextFault reports whether the next loss has to be tolerated: everything is back, for as long as
-// stores may take to catch up, or they have.
+// toleratesNextFault reports whether the next loss has to be tolerated: all lost stores have returned, and either the
+// time that stores may take to catch up has passed, or (with earlyFaults) they have caught up.
 func (c *campaign) toleratesNextFault() bool {
-	return c.now > c.recoveredAt && (c.now-c.recoveredAt >= catchUpTime || c.impatient && c.toleratesLoss())
+	return c.now > c.recoveredAt && (c.now-c.recoveredAt >= catchUpTime || c.earlyFaults && c.toleratesLoss())
 }
 
-// faultKinds lists the faults. Each is over after the time that it is given.
+// faultKinds lists the kinds of faults. Each fault ends after the duration that it is given.
 func (c *campaign) faultKinds() []fault {
 	each := func(call func(s *simulatedStore, down time.Duration)) func([]*simulatedStore, time.Duration) {
 		return func(lost []*simulatedStore, down time.Duration) {
@@ -194,14 +194,13 @@
 		{faultAllPowerDisks, c.allLosePowerDisks},
 		{faultAllPowerDisks, c.disksAfterAcceptance},
 	}
-	if slices.Contains(c.onlyFaults, faultCorruption) { // disks keep what was synced: only if it is asked for
+	if slices.Contains(c.onlyFaults, faultCorruption) { // only if named, as disks otherwise keep synced data
 		kinds = append(kinds, fault{faultCorruption, each(c.corruptStore)}, fault{faultCorruption, each(c.corruptStore)})
 	}
 	return kinds
 }
 
-// replace takes a store away for good. An empty one comes in its place at another address, under its name or
-// another.
+// replace removes a store permanently. An empty store at another address replaces it, under the same name or another.
 func (c *campaign) replace(s *simulatedStore, down time.Duration) {
 	s.remove()
 	c.note("%s is taken away", s.node)
@@ -238,7 +237,7 @@
 	}
 }
 
-// peersOf lists the other stores, and control in most cases.
+// peersOf lists the names of the other stores, and in most cases of control.
 func (c *campaign) peersOf(s *simulatedStore) []string {
 	var names []string
 	if c.random.IntN(4) > 0 {
@@ -280,7 +279,7 @@
 	}
 }
 
-// retire drains a store. Once that is done it is taken away, and perhaps disks are lost right after.
+// retire drains a store. Once it is drained, it is removed, and sometimes disks are lost immediately afterwards.
 func (c *campaign) retire(lost []*simulatedStore, _ time.Duration) {
 	s := lost[0]
 	if len(c.remaining()) == c.replicationFactor {
@@ -320,7 +319,7 @@
 	}
 }
 
-// killThenAllLosePower kills stores, which start again at once, and soon after cuts the power of all.
+// killThenAllLosePower kills stores, which restart at once, and cuts the power of all stores soon afterwards.
 func (c *campaign) killThenAllLosePower(lost []*simulatedStore, down time.Duration) {
 	c.extendRecovery(down)
 	for _, s := range c.remaining() {
@@ -338,7 +337,7 @@
 	c.cutPower(lost, down)
 }
 
-// disksAfterAcceptance cuts all power and loses some disks right after an acceptance.
+// disksAfterAcceptance cuts all power and loses some disks immediately after an acceptance.
 func (c *campaign) disksAfterAcceptance(lost []*simulatedStore, down time.Duration) {
 	c.extendRecovery(down)
 	c.clients.onAccept = func() {
@@ -383,8 +382,7 @@
 	}
 }
 
-// audit checks, after recovery, that all that was accepted is there, on enough disks, with all results that
-// were read.
+// audit checks, after the recovery, that all accepted batch jobs are on enough disks, with all results that were read.
 func (sim *storeSimulation) audit() {
 	if sim.failure != nil {
 		return
@@ -393,7 +391,7 @@
 		return
 	}
 	sim.auditCapacity()
-	sim.clients.quiet = true
+	sim.clients.stopped = true
 	for _, j := range sim.clients.order {
 		sim.auditJob(j)
 	}
@@ -417,8 +415,8 @@
 	return sim.failure == nil
 }
 
-// holdsExpired reports whether a store still holds an expired batch job. Its owner may have dropped it
-// before, by another clock.
+// holdsExpired reports whether a store still holds an expired batch job. The owner, whose clock may differ, may have
+// dropped the batch job earlier.
 func (sim *storeSimulation) holdsExpired(key placement.Key) bool {
 	s := sim.storeOf(key)
 	return s != nil && slices.ContainsFunc(s.machine.jobsInOrder, func(j *storedJob) bool {
@@ -426,13 +424,13 @@
 	})
 }
 
-// auditJob checks an acknowledged batch job that hasn't expired: its copies, and that all results can be
+// auditJob checks an acknowledged batch job that hasn't expired: that its copies exist, and that all results can be
 // read.
 func (sim *storeSimulation) auditJob(j *clientJob) {
 	if sim.clients.expired(j) {
 		return
 	}
-	sim.clients.checkPromise(j)
+	sim.clients.checkRejections(j)
 	if !j.accepted {
 		return
 	}
@@ -448,7 +446,7 @@
 		case answer.Status != 200:
 			sim.fail("%s: can't be read after recovery, %d:%s", j.id, answer.Status, sim.describe(j.id))
 		case !j.endRequested && !j.allRead():
-			sim.fail("%s: accepted at %v, %d (before: %d) of %d results were read:%s",
+			sim.fail("%s: accepted at %v, only %d (before the audit: %d) of %d results were read:%s",
 				j.id, j.acceptedAt, len(j.seen), read, len(j.items), sim.describe(j.id))
 		}
 	})
@@ -476,7 +474,7 @@
 		}
 	}
 	if count < sim.replicationFactor {
-		sim.fail("%s: is fully replicated on %d stores:%s", j.id, count, sim.describe(j.id))
+		sim.fail("%s: is fully replicated on only %d stores:%s", j.id, count, sim.describe(j.id))
 	}
 }
 
@@ -488,7 +486,7 @@
 	}
 }
 
-// describeUndrained returns what keeps a retiring store from being drained.
+// describeUndrained returns a text with the state that keeps a retiring store from being drained.
 func (sim *storeSimulation) describeUndrained(node string) string {
 	text := ""
 	for _, s := range sim.remaining() {
--- a/internal/batch/replica/claims_test.go
+++ b/internal/batch/replica/claims_test.go
@@ -14,16 +14,16 @@
 	"sprucelane.example/sprucelane/internal/protocol"
 )
 
-// The limit of queued tokens, in simulations and step by step.
+// This file contains the tests of the limit of queued tokens, in simulations and step by step.
 
-// testTokenLimit is the limit of queued tokens in simulations that have one: a few batch jobs.
+// testTokenLimit is the limit of queued tokens in simulations that have one. It suffices for a few batch jobs.
 const testTokenLimit = 500
 
-// itemTokens returns the tokens of a batch job's item.
+// itemTokens returns the number of tokens of a batch job's item with an index.
 func itemTokens(index int) int { return 20 + 37*index%50 }
 
-// queuedTokens sums the tokens of accepted items that no server has finished and that can't have been given up, in
-// batch jobs whose end nobody has requested.
+// queuedTokens returns the number of tokens that are certainly queued: those of accepted items that no server has
+// finished and that no store can have given up, in batch jobs whose end no client has requested.
 func (c *clients) queuedTokens() int64 {
 	sum := int64(0)
 	for _, j := range c.order {
@@ -39,15 +39,15 @@
 	return sum
 }
 
-// checkTokenLimit checks the limit as a batch job is accepted.
+// checkTokenLimit checks the limit when a batch job is accepted.
 func (c *clients) checkTokenLimit(j *clientJob) {
 	if queued := c.queuedTokens(); c.sim.tokenLimit > 0 && queued > c.sim.tokenLimit {
 		c.sim.fail("%s is accepted: %d tokens are queued, the limit is %d:%s", j.id, queued, c.sim.tokenLimit, c.sim.describeClaims())
 	}
 }
 
-// auditCapacity checks that there is capacity for as much as the limit once everything is finished: nothing
-// stays granted for ever.
+// auditCapacity checks that the whole limit is available once all items are finished, so that no capacity stays granted
+// for ever.
 func (sim *storeSimulation) auditCapacity() {
 	if sim.tokenLimit == 0 || sim.failure != nil || sim.clients.queuedTokens() > 0 {
 		return
@@ -64,11 +64,11 @@
 	sim.clients.call(sim.someMember(), call, items, callHops, func(answer protocol.BatchAnswer) { status = answer.Status })
 	sim.runUntil(sim.now + 4*time.Second)
 	if status != 202 {
-		sim.fail("a batch job as large as the limit is answered %d though nothing is queued:%s", status, sim.describeClaims())
+		sim.fail("a batch job as large as the limit is answered %d, want 202 (nothing is queued):%s", status, sim.describeClaims())
 	}
 }
 
-// describeClaims returns what each store uses, was granted and counts.
+// describeClaims returns a text with the tokens that each store uses, was granted and counts.
 func (sim *storeSimulation) describeClaims() string {
 	text := ""
 	for _, s := range sim.remaining() {
@@ -88,7 +88,7 @@
 	return text
 }
 
-// injectCounterBugs breaks, now and then, what a state machine knows of queued tokens.
+// injectCounterBugs corrupts the counts of queued tokens in state machines at random intervals.
 func (c *campaign) injectCounterBugs() {
 	c.schedule(c.randomDuration(time.Millisecond, 10*time.Millisecond), c.injectCounterBugs)
 	for _, s := range c.remaining() {
@@ -107,7 +107,7 @@
 	}
 }
 
-// submitTokens submits a batch job of one item at a node.
+// submitTokens submits a batch job of one item with a number of tokens at a node, and returns the status.
 func (n *clusterNode) submitTokens(id string, tokens int) int {
 	items := []job.Item{{ID: id + "-0", Path: "/p", Body: []byte("body"), Tokens: tokens}}
 	return n.call(protocol.BatchCall{Operation: protocol.BatchSubmit, BatchJob: id, Tenant: "t", Route: "r"}, items).Status
@@ -119,7 +119,7 @@
 	return c.nodes[slices.IndexFunc(c.nodes, func(n *clusterNode) bool { return n.key() == key })]
 }
 
-// TestQueuedTokensAreLimited submits batch jobs up to and beyond the limit, while counters change.
+// TestQueuedTokensAreLimited submits batch jobs up to and beyond the limit, also after the counter has changed.
 func TestQueuedTokensAreLimited(t *testing.T) {
 	Convey("Batch jobs are accepted up to the limit over all stores, and again once items are finished", t, func() {
 		c := newCluster(5, 2, 1)
@@ -134,7 +134,7 @@
 		c.quiesce()
 		So(c.nodes[1].submitTokens("large", 50), ShouldEqual, 202)
 		again := protocol.BatchCall{Operation: protocol.BatchSubmit, BatchJob: "large", Tenant: "t", Route: "r"}
-		So(c.nodes[4].call(again, nil).Owner, ShouldEqual, c.nodes[1].process().IP) // it is known
+		So(c.nodes[4].call(again, nil).Owner, ShouldEqual, c.nodes[1].process().IP) // a known batch job needs no capacity
 		So(c.nodes[4].submitTokens("three", 11), ShouldEqual, 429)
 	})
 	Convey("The end of a batch job frees capacity", t, func() {
@@ -183,7 +183,7 @@
 		c.quiesce()
 		So(left[2].submitTokens("d", 40), ShouldEqual, 202)
 	})
-	Convey("A lowered limit holds from then on, a lifted one for what is queued as well", t, func() {
+	Convey("A changed limit applies to the next batch jobs, and counts the tokens that are already queued", t, func() {
 		c := newCluster(3, 2, 1)
 		c.quiesce()
 		So(c.nodes[0].submitTokens("free", 1000), ShouldEqual, 202)
--- a/internal/batch/replica/cluster_test.go
+++ b/internal/batch/replica/cluster_test.go
@@ -15,25 +15,25 @@
 	"sprucelane.example/sprucelane/internal/simulation"
 )
 
-// A cluster for tests that go step by step: state machines on the real log and simulated disks, messages that
-// are delivered in order when the test says so, a clock that the test moves. Only what a loss of power leaves
+// This file contains a cluster for step-by-step tests: state machines on the real log and simulated disks. The test
+// decides when messages are delivered, in order, and moves the clock. Only the data that remains after a loss of power
 // is random.
 
-// cluster is some nodes with a view.
+// cluster is a set of nodes with a view.
 type cluster struct {
 	itemLifetime      time.Duration // 0 for no limit
 	replicationFactor int
 	now               time.Duration
 	epoch             uint64
-	currentView       protocol.StoreView // that control agreed on
-	tokenLimit        int64              // of queued tokens, 0 for none
+	currentView       protocol.StoreView // the view that control agreed on last
+	tokenLimit        int64              // limit of queued tokens, 0 for none
 	nodes             []*clusterNode
 	messages          []clusterMessage
-	uninformed        func(*clusterNode) bool   // reports whether control tells a node nothing; nil for none
-	drops             func(clusterMessage) bool // reports whether a message is lost; nil for none
+	uninformed        func(*clusterNode) bool   // reports whether control sends nothing to a node; nil for no node
+	drops             func(clusterMessage) bool // reports whether a message is lost; nil if none is
 }
 
-// clusterMessage is a message on its way.
+// clusterMessage is a message that hasn't been delivered yet.
 type clusterMessage struct {
 	from protocol.Process
 	to   placement.Key
@@ -48,7 +48,7 @@
 	processIncarnation uint64
 	state              protocol.StoreState
 	disk               *simulation.Disk
-	log                *wal.Log // nil: the process doesn't run
+	log                *wal.Log // nil while the process doesn't run
 	machine            *StateMachine
 	findings           []*Finding
 	answers            map[CallID]protocol.BatchAnswer
@@ -77,7 +77,7 @@
 
 func (n *clusterNode) key() placement.Key { return placement.KeyOf(n.process()) }
 
-// start starts the process on its disk; findings are noted.
+// start starts the process on its disk and records the findings in its log.
 func (n *clusterNode) start() {
 	n.processIncarnation++
 	n.findings = nil
@@ -122,7 +122,7 @@
 	n.processIncarnation = 0
 }
 
-// installView makes a set of stores the newest view.
+// installView makes a set of stores the newest view, and sends it to them with a lease.
 func (c *cluster) installView(members ...*clusterNode) {
 	c.epoch++
 	view := protocol.StoreView{Epoch: c.epoch}
@@ -136,7 +136,7 @@
 	}
 }
 
-// departedAfter returns who has departed with the view after another, as control agrees on it.
+// departedAfter returns the departed stores of the view that follows another one, as control determines them.
 func departedAfter(last, next protocol.StoreView) (departed []protocol.Process) {
 	before := slices.Clone(last.Departed)
 	for _, member := range last.Members {
@@ -152,7 +152,7 @@
 	return departed
 }
 
-// noteReconciled has control agree that all members have reconciled once they have reported it.
+// noteReconciled makes control agree that all members have reconciled, once they have reported it.
 func (c *cluster) noteReconciled() {
 	if c.currentView.Settled {
 		return
@@ -160,9 +160,9 @@
 	for _, member := range c.currentView.Members {
 		n := c.nodes[slices.IndexFunc(c.nodes, func(n *clusterNode) bool { return n.process().Node == member.Node })]
 		report := n.machine.Report()
-		told := n.log != nil && n.process() == member.Process &&
+		reported := n.log != nil && n.process() == member.Process &&
 			report.Settled == c.currentView.Epoch && report.Missing < c.replicationFactor
-		if !told && member.State != protocol.StoreRetired {
+		if !reported && member.State != protocol.StoreRetired {
 			return
 		}
 	}
@@ -176,7 +176,7 @@
 
 func (c *cluster) isUninformed(n *clusterNode) bool { return c.uninformed != nil && c.uninformed(n) }
 
-// rejoin tells a process the newest view, and grants it a lease.
+// rejoin sends a process the newest view, and grants it a lease.
 func (c *cluster) rejoin(n *clusterNode) {
 	if n.log != nil && !c.isUninformed(n) {
 		n.machine.InstallView(c.currentView)
@@ -184,7 +184,7 @@
 	}
 }
 
-// sync makes all that a node wrote durable.
+// sync makes all records that a node has written durable. It reports whether there were any.
 func (n *clusterNode) sync() (wrote bool) {
 	if n.log == nil {
 		return false
@@ -205,7 +205,7 @@
 	return wrote
 }
 
-// quiesce delivers messages and writes until nothing more comes of them, over some ticks.
+// quiesce runs rounds until messages and writes have no further effect, and checks the invariants.
 func (c *cluster) quiesce() {
 	for range 12 {
 		c.round()
@@ -215,7 +215,7 @@
 	c.checkInvariants()
 }
 
-// round delivers what is on its way and lets some time pass.
+// round delivers all messages and writes, and then lets some time pass.
 func (c *cluster) round() {
 	c.deliverAll()
 	c.now += 300 * time.Millisecond
@@ -227,7 +227,7 @@
 	c.noteReconciled()
 }
 
-// checkInvariants fails the test if an invariant was violated.
+// checkInvariants panics if an invariant was violated.
 func (c *cluster) checkInvariants() {
 	for _, n := range c.nodes {
 		if violations := n.machine.Violations(); violations.Total() > 0 {
@@ -236,7 +236,7 @@
 	}
 }
 
-// deliverAll delivers messages and writes until there are none.
+// deliverAll delivers messages and syncs writes until there are none.
 func (c *cluster) deliverAll() {
 	for busy := true; busy; {
 		busy = false
@@ -323,12 +323,12 @@
 func (n *clusterNode) finish(id string, indexes ...int) {
 	for _, index := range indexes {
 		if !n.machine.Finish(id, index, job.Completed, []byte(strconv.Itoa(index))) {
-			panic(fmt.Sprintf("item %d of %s isn't taken on %s", index, id, n.key()))
+			panic(fmt.Sprintf("result of item %d of %s isn't accepted by %s", index, id, n.key()))
 		}
 	}
 }
 
-// owner returns the node that owns a batch job.
+// owner returns the running node that owns a batch job; nil if there is none.
 func (c *cluster) owner(id string) *clusterNode {
 	index := slices.IndexFunc(c.nodes, func(n *clusterNode) bool {
 		return n.log != nil && n.machine.jobs[id] != nil && n.machine.jobs[id].owned
@@ -339,7 +339,7 @@
 	return c.nodes[index]
 }
 
-// replicaOf returns the node of the batch job's set that doesn't own it.
+// replicaOf returns the first node of the batch job's replica set after the owner.
 func (c *cluster) replicaOf(id string) *clusterNode {
 	owner := c.owner(id)
 	for _, replica := range owner.machine.jobs[id].replicas[1:] {
--- a/internal/batch/replica/concurrentclients_test.go
+++ b/internal/batch/replica/concurrentclients_test.go
@@ -9,9 +9,9 @@
 	"sprucelane.example/sprucelane/internal/protocol"
 )
 
-// What clients are answered that call at any gateway, and so at any store, while stores leave and join.
+// This file tests the answers to clients that call any gateway, and so any store, while stores leave and join.
 
-// callOwner makes a call at a node and follows it to the owners that are named. It returns the last answer.
+// callOwner makes a call at a node and repeats it at the owners that the answers name. It returns the last answer.
 func (n *clusterNode) callOwner(call protocol.BatchCall, items []job.Item) protocol.BatchAnswer {
 	answer := n.call(call, items)
 	for range 3 {
@@ -27,13 +27,13 @@
 	return answer
 }
 
-// isAcceptable reports whether an answer may be given to a caller of an accepted, open batch job; other
-// statuses would deny it.
-func isAcceptable(answer protocol.BatchAnswer, good int) bool {
-	return answer.Status == good || answer.Status == 503 || answer.Status == 504 || answer.Owner != ""
+// isAcceptable reports whether an answer may be given to a call for an accepted batch job. Other statuses would deny
+// that the batch job exists.
+func isAcceptable(answer protocol.BatchAnswer, success int) bool {
+	return answer.Status == success || answer.Status == 503 || answer.Status == 504 || answer.Owner != ""
 }
 
-// checkCalls makes calls of each kind at a node.
+// checkCalls makes calls of each kind at a node, and checks the answers.
 func (n *clusterNode) checkCalls(t *testing.T, random *rand.Rand, listed map[int]bool) {
 	t.Helper()
 	index := random.IntN(8)
@@ -52,15 +52,15 @@
 		Operation: protocol.BatchSubmit, BatchJob: "job", Tenant: "t", Route: "r",
 	}, nil)
 	if !isAcceptable(again, 202) {
-		t.Fatalf("sent again: %d from %s", again.Status, n.key())
+		t.Fatalf("repeated submission: %d from %s", again.Status, n.key())
 	}
 	end := n.callOwner(protocol.BatchCall{Operation: protocol.BatchEnd, BatchJob: "over", Tenant: "t"}, nil)
 	if !isAcceptable(end, 200) {
-		t.Fatalf("ended again: %d from %s", end.Status, n.key())
+		t.Fatalf("repeated end: %d from %s", end.Status, n.key())
 	}
 }
 
-// injectFault injects one fault. No more than one store is away at a time, and the next goes only once all
+// injectFault injects one fault, which makes at most one store absent. The caller injects the next only once all stores
 // have reconciled.
 func (c *cluster) injectFault(random *rand.Rand) {
 	n := c.nodes[random.IntN(len(c.nodes))]
@@ -88,7 +88,7 @@
 	}
 }
 
-// TestConcurrentClients makes calls of each kind at all stores right after each fault and once all have
+// TestConcurrentClients makes calls of each kind at all stores, immediately after each fault and once all stores have
 // reconciled.
 func TestConcurrentClients(t *testing.T) {
 	for seed := range uint64(40) {
@@ -104,7 +104,7 @@
 		listed := map[int]bool{}
 		for range 8 {
 			c.injectFault(random)
-			for _, n := range c.running() { // right after it, and once all is quiet
+			for _, n := range c.running() { // immediately after the fault; below again once all have reconciled
 				n.checkCalls(t, random, listed)
 			}
 			c.installView(c.nodes...)
--- a/internal/batch/replica/departures_test.go
+++ b/internal/batch/replica/departures_test.go
@@ -12,9 +12,9 @@
 	"sprucelane.example/sprucelane/internal/protocol"
 )
 
-// What is answered while stores are missing, and what becomes of superseded copies.
+// This file tests the answers to calls while stores are missing, and the release of superseded copies.
 
-// except returns the nodes that are none of these.
+// except returns all nodes except for the given ones.
 func (c *cluster) except(nodes ...*clusterNode) []*clusterNode {
 	var list []*clusterNode
 	for _, n := range c.nodes {
@@ -25,7 +25,8 @@
 	return list
 }
 
-// TestNotAcceptedWhileMissing submits a batch job again while all stores that hold it are away.
+// TestNotAcceptedWhileMissing submits a batch job again while stores that hold it are absent. It guards against a
+// second acceptance, after which the absent copies would return.
 func TestNotAcceptedWhileMissing(t *testing.T) {
 	Convey("A batch job isn't accepted again while its copies may be on stores that are missing", t, func() {
 		c := newCluster(5, 2, 1)
@@ -34,7 +35,7 @@
 		owner.finish("job", 0, 1)
 		c.quiesce()
 		rest := c.except(owner, replica)
-		for _, n := range c.nodes { // all lose power, and these two come back late
+		for _, n := range c.nodes { // all stores lose power, and the owner and the replica return late
 			n.losePower()
 		}
 		for _, n := range rest {
@@ -44,9 +45,9 @@
 		c.quiesce()
 		rest[0].machine.Call(77, protocol.BatchCall{Operation: protocol.BatchSubmit, BatchJob: "job", Tenant: "t"}, nil)
 		So(rest[0].answers[77].Status, ShouldEqual, 503)      // at once
-		So(rest[1].submit("new", 4).Status, ShouldEqual, 503) // it can't be told apart
+		So(rest[1].submit("new", 4).Status, ShouldEqual, 503) // a new batch job can't be distinguished from a missing one
 		c.messages = nil
-		for _, n := range rest { // whichever store asks: one may have forgotten who is missing
+		for _, n := range rest { // also if a store requests votes because it doesn't know which stores are missing
 			n.machine.Receive(rest[0].process(), ReservationRequest{Stamp: n.machine.stamp(), Job: "job", Number: 1})
 		}
 		So(c.messages, ShouldBeEmpty)
@@ -64,7 +65,7 @@
 		So(status, ShouldEqual, 200)
 		So(texts, ShouldResemble, []string{"0", "1"})
 	})
-	Convey("Nor where one of two that hold it is there and may not own it yet", t, func() {
+	Convey("Nor while one of the two stores that hold it is present and may not own it yet", t, func() {
 		c := newCluster(6, 2, 1)
 		So(c.nodes[0].submit("job", 4).Status, ShouldEqual, 202)
 		owner, replica := c.owner("job"), c.replicaOf("job")
@@ -86,7 +87,7 @@
 			answer := n.submit("job", 4)
 			So(answer.Status, ShouldNotEqual, 202)
 			So(answer.Owner, ShouldBeIn, "", replica.process().IP)
-			So(n.machine.Report().Settled, ShouldBeLessThan, c.epoch) // a batch job is on one disk only
+			So(n.machine.Report().Settled, ShouldBeLessThan, c.epoch) // the batch job is on one disk only
 		}
 		second.start()
 		c.installView(rest...)
@@ -98,9 +99,9 @@
 	})
 }
 
-// TestSupersededReplica has a store come back with a copy after it was replaced.
+// TestSupersededReplica makes a store return with its copy after it was replaced.
 func TestSupersededReplica(t *testing.T) {
-	Convey("A superseded copy is dropped once all have reconciled, and can't outlive the batch job", t, func() {
+	Convey("A superseded copy is dropped once all stores have reconciled, and can't outlive the batch job", t, func() {
 		c := newCluster(3, 2, 1)
 		So(c.nodes[0].submit("job", 4).Status, ShouldEqual, 202)
 		owner, replica := c.owner("job"), c.replicaOf("job")
@@ -110,12 +111,12 @@
 		So(third.machine.jobs["job"].version, ShouldEqual, owner.machine.jobs["job"].version)
 		So(replica.machine.jobs["job"].version, ShouldBeLessThan, owner.machine.jobs["job"].version)
 		c.installView(c.nodes...)
-		So(replica.machine.jobs["job"], ShouldNotBeNil) // it is there until all have reconciled
+		So(replica.machine.jobs["job"], ShouldNotBeNil) // the copy is kept until all stores have reconciled
 		c.quiesce()
 		So(replica.machine.jobs["job"], ShouldBeNil)
 		replica.kill()
 		replica.start()
-		So(replica.machine.jobs["job"], ShouldBeNil) // the log doesn't bring it back
+		So(replica.machine.jobs["job"], ShouldBeNil) // the replay of the log doesn't restore it
 		So(owner.machine.jobs["job"], ShouldNotBeNil)
 		So(third.machine.jobs["job"], ShouldNotBeNil)
 	})
@@ -123,7 +124,7 @@
 
 // TestExpiredWhileUnderReplicated lets a batch job expire that couldn't be fully replicated.
 func TestExpiredWhileUnderReplicated(t *testing.T) {
-	Convey("A store reconciles once what wasn't fully replicated is dropped", t, func() {
+	Convey("A store reconciles once the batch jobs that weren't fully replicated are dropped", t, func() {
 		c := newCluster(2, 2, 1)
 		So(c.nodes[0].submit("job", 1).Status, ShouldEqual, 202)
 		owner, replica := c.owner("job"), c.replicaOf("job")
@@ -134,15 +135,15 @@
 		c.installView(owner)
 		c.quiesce()
 		So(owner.machine.Report().Settled, ShouldBeLessThan, c.epoch)
-		c.now += 2 * time.Minute // it has expired, departed stores have not
+		c.now += 2 * time.Minute // the batch job has expired, departed stores have not
 		c.quiesce()
 		So(owner.machine.jobs["job"], ShouldBeNil)
 		So(owner.machine.Report().Settled, ShouldEqual, c.epoch)
 	})
 }
 
-// newSupersededReplica restarts a store that was away while its batch job was closed without it; it has seen
-// no view yet.
+// newSupersededReplica restarts a replica that was absent while its batch job was closed. The replica has not received
+// a view since.
 func newSupersededReplica() (c *cluster, owner, replica *clusterNode) {
 	c = newCluster(3, 2, 1)
 	So(c.nodes[0].submit("job", 1).Status, ShouldEqual, 202)
@@ -156,13 +157,13 @@
 	return c, owner, replica
 }
 
-// TestExpiredAtOwner has a superseded copy of a batch job that its owner has dropped since.
+// TestExpiredAtOwner keeps a superseded copy of a batch job until the owner has dropped the batch job.
 func TestExpiredAtOwner(t *testing.T) {
-	Convey("A superseded copy is dropped with the batch job, also if it doesn't know that it was closed", t, func() {
+	Convey("A superseded copy is dropped with the batch job, even if it lacks the end", t, func() {
 		c, owner, replica := newSupersededReplica()
 		c.drops = func(m clusterMessage) bool {
-			_, told := m.body.(ReplicationResponse)
-			return told && m.to == replica.key()
+			_, isResponse := m.body.(ReplicationResponse)
+			return isResponse && m.to == replica.key()
 		}
 		c.installView(c.nodes...)
 		c.quiesce()
@@ -180,8 +181,8 @@
 	})
 }
 
-// TestSupersededReplicaExpires has a releasable copy stay, as not all have reported that they reconciled,
-// until the batch job expires.
+// TestSupersededReplicaExpires keeps a releasable copy until the batch job expires, by dropping the reports that the
+// other stores have reconciled.
 func TestSupersededReplicaExpires(t *testing.T) {
 	Convey("A superseded copy doesn't outlive the batch job", t, func() {
 		c, owner, replica := newSupersededReplica()
@@ -199,9 +200,9 @@
 	})
 }
 
-// TestEmptyDisk has a store with an empty disk be the first to come back.
+// TestEmptyDisk makes a store with an empty disk return first after a loss of power.
 func TestEmptyDisk(t *testing.T) {
-	Convey("A store whose disk was lost denies nothing while as many are missing as there are replicas", t, func() {
+	Convey("A store whose disk was lost answers no 404 while as many stores are missing as there are replicas", t, func() {
 		c := newCluster(4, 2, 1)
 		So(c.nodes[0].submit("job", 4).Status, ShouldEqual, 202)
 		owner, replica := c.owner("job"), c.replicaOf("job")
@@ -213,26 +214,26 @@
 		owner.start()
 		c.installView(owner)
 		c.quiesce()
-		denies := func(n *clusterNode) bool {
+		answersNotFound := func(n *clusterNode) bool {
 			_, status := n.read("job")
 			So(status, ShouldBeIn, 404, 503)
 			return status == 404
 		}
-		So(denies(owner), ShouldBeFalse)
+		So(answersNotFound(owner), ShouldBeFalse)
 		So(owner.machine.tooManyDeparted(), ShouldBeTrue)
-		owner.kill() // nor after another restart
+		owner.kill() // after another restart it still answers no 404
 		owner.start()
 		c.installView(owner)
 		c.quiesce()
-		So(denies(owner), ShouldBeFalse)
+		So(answersNotFound(owner), ShouldBeFalse)
 		rest[0].start()
 		c.installView(owner, rest[0])
 		c.quiesce()
-		for _, n := range []*clusterNode{owner, rest[0]} { // its former disk is missing, too
+		for _, n := range []*clusterNode{owner, rest[0]} { // the owner's former disk is missing as well
 			So(n.machine.departures.stores, ShouldHaveLength, 3)
 			So(n.machine.departures.countDeparted(), ShouldEqual, 3)
 		}
-		So(denies(owner) || denies(rest[0]), ShouldBeFalse)
+		So(answersNotFound(owner) || answersNotFound(rest[0]), ShouldBeFalse)
 		replica.start()
 		rest[1].start()
 		c.installView(c.nodes...)
@@ -242,7 +243,7 @@
 		_, status = owner.read("no-such-job")
 		So(status, ShouldEqual, 404)
 	})
-	Convey("It denies nothing for as long as batch jobs are kept where all copies were lost", t, func() {
+	Convey("It answers no 404 for as long as batch jobs are kept if all copies were lost", t, func() {
 		c := newCluster(1, 1, 1)
 		n := c.nodes[0]
 		n.wipe()
@@ -258,9 +259,10 @@
 	})
 }
 
-// TestMissedReconciledNotice has one store miss that all have reconciled, right before the next loss.
+// TestMissedReconciledNotice makes one store miss the view in which all members have reconciled, immediately before the
+// next loss. It guards against a store that still counts earlier departures, and so too many missing stores.
 func TestMissedReconciledNotice(t *testing.T) {
-	Convey("A store that missed a reconciled view misses no store that departed before it", t, func() {
+	Convey("A store that missed a reconciled view doesn't count the stores that departed before it", t, func() {
 		c := newCluster(5, 2, 1)
 		So(c.nodes[0].submit("job", 4).Status, ShouldEqual, 202)
 		owner, replica := c.owner("job"), c.replicaOf("job")
@@ -283,7 +285,7 @@
 		So(status, ShouldEqual, 200)
 		So(replica.machine.Report().Settled, ShouldEqual, c.epoch)
 	})
-	Convey("Nor does one that loses power with all others right then, and two disks after it", t, func() {
+	Convey("Nor does a store that loses power with all others right then, while two disks are lost", t, func() {
 		c := newCluster(9, 3, 1)
 		first := c.nodes[8]
 		first.wipe()
@@ -320,14 +322,14 @@
 	})
 }
 
-// TestMissedViews has a store miss some views.
+// TestMissedViews makes stores miss some views.
 func TestMissedViews(t *testing.T) {
-	Convey("A store misses all that departed in views that it didn't see, also those that joined in them", t, func() {
+	Convey("Departures in views that a store didn't see count, also of stores that joined in such views", t, func() {
 		for copies := 2; copies <= 3; copies++ {
 			c := newCluster(2*copies, copies, 1)
 			replaced := c.nodes[:copies]
 			away := c.nodes[copies:]
-			for _, n := range replaced { // until only the nodes of away are members
+			for _, n := range replaced { // from here on, only the nodes in away are members
 				n.kill()
 			}
 			c.installView(away...)
@@ -382,10 +384,12 @@
 	})
 }
 
-// TestMissingNoMore has a store wait for others that may hold a newer version, until it needn't.
+// TestMissingNoMore makes a store wait for missing stores that may hold a newer version, until they don't count any
+// more.
 func TestMissingNoMore(t *testing.T) {
-	// waiting has a store with the one copy that is there wait, as two machines of two copies are missing.
-	waiting := func() (*cluster, *clusterNode) {
+	// newWaitingStore returns a store with the only present copy, which waits because two machines are missing, as many as there
+	// are copies.
+	newWaitingStore := func() (*cluster, *clusterNode) {
 		c := newCluster(6, 2, 1)
 		So(c.nodes[0].submit("job", 4).Status, ShouldEqual, 202)
 		owner, replica := c.owner("job"), c.replicaOf("job")
@@ -397,15 +401,15 @@
 		So(replica.machine.Status().Unowned, ShouldEqual, 1)
 		return c, replica
 	}
-	Convey("It owns what it has once they have been missing for as long as batch jobs are kept", t, func() {
-		c, replica := waiting()
+	Convey("It owns the batch job once they have been missing for as long as batch jobs are kept", t, func() {
+		c, replica := newWaitingStore()
 		c.now += time.Hour + time.Minute
 		c.quiesce()
 		So(replica.machine.Status().Reconciled(), ShouldBeTrue)
 		So(replica.machine.jobs["job"].owned, ShouldBeTrue)
 	})
-	Convey("And once control has agreed that all have reconciled without them", t, func() {
-		c, replica := waiting()
+	Convey("And once control has agreed that all members have reconciled without them", t, func() {
+		c, replica := newWaitingStore()
 		c.currentView.Settled, c.currentView.Departed = true, nil
 		for _, n := range c.nodes {
 			if n.log != nil {
@@ -416,7 +420,7 @@
 		So(replica.machine.Status().Reconciled(), ShouldBeTrue)
 		So(replica.machine.jobs["job"].owned, ShouldBeTrue)
 	})
-	Convey("A machine that lost its disk, and whose next one has an incomplete log, is missing once", t, func() {
+	Convey("A machine that lost its disk, and whose next disk has an incomplete log, is counted once", t, func() {
 		c := newCluster(4, 3, 1)
 		n := c.nodes[0]
 		n.wipe()
@@ -431,10 +435,9 @@
 	})
 }
 
-// TestRetirementWaitsForFullReplication restarts a store of the new set right after it has confirmed its
-// copy.
+// TestRetirementWaitsForFullReplication restarts a store of the new set immediately after it has confirmed its copy.
 func TestRetirementWaitsForFullReplication(t *testing.T) {
-	Convey("A set with a restarted store isn't fully replicated before that reports its copy", t, func() {
+	Convey("A set with a restarted store isn't fully replicated before that store reports its copy", t, func() {
 		c := newCluster(4, 2, 1)
 		So(c.nodes[0].submit("job", 4).Status, ShouldEqual, 202)
 		owner, leaving := c.owner("job"), c.replicaOf("job")
@@ -444,7 +447,7 @@
 		So(leaving.machine.drained(), ShouldBeTrue)
 		successor := c.replicaOf("job")
 		So(successor == leaving, ShouldBeFalse)
-		successor.injectRecords(encodeDropped("job")) // what it had is gone
+		successor.injectRecords(encodeDropped("job")) // its copy is lost
 		c.rejoin(successor)
 		confirms := func() bool {
 			c.messages = nil
@@ -452,7 +455,7 @@
 			So(c.messages, ShouldHaveLength, 1)
 			return c.messages[0].body.(ReplicationResponse).Whole
 		}
-		So(confirms(), ShouldBeTrue) // it hasn't sent anything yet
+		So(confirms(), ShouldBeTrue) // the successor hasn't sent anything since its restart
 		owner.machine.Receive(successor.process(), InventoryRequest{Stamp: successor.machine.stamp()})
 		So(confirms(), ShouldBeFalse)
 		So(owner.machine.Report().Settled, ShouldBeLessThan, c.epoch)
@@ -460,7 +463,7 @@
 		So(confirms(), ShouldBeTrue)
 		So(successor.machine.jobs["job"], ShouldNotBeNil)
 		So(owner.machine.Report().Settled, ShouldEqual, c.epoch)
-		owner.wipe() // a disk is lost right after
+		owner.wipe() // a disk is lost immediately afterwards
 		c.installView(c.except(owner)...)
 		c.quiesce()
 		_, status := successor.read("job")
@@ -468,9 +471,9 @@
 	})
 }
 
-// TestDrainedStoreIsNotMissed drains a store while others are away.
+// TestDrainedStoreIsNotMissed drains a store while others are absent.
 func TestDrainedStoreIsNotMissed(t *testing.T) {
-	Convey("A store counts as drained once all others have reported that they reconciled, and isn't missed", t, func() {
+	Convey("A store is drained once all others have reported that they reconciled, and then isn't missing", t, func() {
 		c := newCluster(4, 2, 1)
 		So(c.nodes[0].submit("job", 2).Status, ShouldEqual, 202)
 		leaving := c.except(c.owner("job"), c.replicaOf("job"))[0]
@@ -479,7 +482,7 @@
 		leaving.state = protocol.StoreRetiring
 		c.installView(c.nodes...)
 		c.quiesce()
-		So(leaving.machine.Report().DrainedDown, ShouldBeFalse) // nothing is known of what the other holds
+		So(leaving.machine.Report().DrainedDown, ShouldBeFalse) // it isn't known which batch jobs the other store holds
 		c.drops = nil
 		c.quiesce()
 		So(leaving.machine.Report().DrainedDown, ShouldBeTrue)
@@ -494,7 +497,7 @@
 			So(n.machine.departures.stores, ShouldBeEmpty)
 		}
 	})
-	Convey("One that was away misses only what was lost", t, func() {
+	Convey("For a store that was absent, only lost stores are missing", t, func() {
 		c := newCluster(4, 2, 1)
 		So(c.nodes[0].submit("job", 2).Status, ShouldEqual, 202)
 		owner, away := c.owner("job"), c.replicaOf("job")
@@ -502,7 +505,7 @@
 		away.kill()
 		leaving.state = protocol.StoreRetiring
 		c.installView(owner, leaving, rest)
-		owner.machine.disown(owner.machine.jobs["job"]) // it is not replicated again before the disk is lost
+		owner.machine.disown(owner.machine.jobs["job"]) // so that it isn't replicated again before the disk is lost
 		owner.wipe()
 		c.installView(leaving, rest)
 		c.quiesce()
@@ -519,10 +522,10 @@
 	})
 }
 
-// TestLossWhileLeaving loses a disk while another store is being drained, so that fewer active ones than
-// copies are left.
+// TestLossWhileLeaving loses a disk while another store is being drained, so that fewer active stores than copies
+// remain.
 func TestLossWhileLeaving(t *testing.T) {
-	Convey("A retiring store stays in sets that too few others are left for", t, func() {
+	Convey("A retiring store stays in replica sets for which too few other stores remain", t, func() {
 		for lost := range 2 {
 			c := newCluster(3, 2, 1)
 			So(c.nodes[0].submit("job", 4).Status, ShouldEqual, 202)
@@ -530,15 +533,15 @@
 			owner.finish("job", 0)
 			c.quiesce()
 			leaving := c.except(owner, replica)[0]
-			gone, stays := owner, replica
+			wiped, stays := owner, replica
 			if lost == 1 {
-				gone, stays = replica, owner
+				wiped, stays = replica, owner
 			}
 			leaving.state = protocol.StoreRetiring
 			c.installView(c.nodes...)
 			c.quiesce()
 			So(leaving.machine.Report().DrainedDown, ShouldBeTrue)
-			gone.wipe()
+			wiped.wipe()
 			c.installView(leaving, stays)
 			c.quiesce()
 			texts, status := stays.readAnywhere("job")
@@ -546,12 +549,12 @@
 			So(texts, ShouldResemble, []string{"0"})
 			So(leaving.machine.Report().DrainedDown, ShouldBeFalse) // it is needed again
 			So(stays.machine.Report().Settled, ShouldEqual, c.epoch)
-			gone.start()
+			wiped.start()
 			c.installView(c.nodes...)
 			c.quiesce()
 			So(leaving.machine.Report().DrainedDown, ShouldBeTrue)
 			c.installView(c.nodes...)
-			So(leaving.machine.Report().DrainedDown, ShouldBeFalse) // reports of the last epoch count no more
+			So(leaving.machine.Report().DrainedDown, ShouldBeFalse) // reports of the last epoch don't count any more
 			c.drops = func(m clusterMessage) bool {
 				_, notice := m.body.(ReconciledNotice)
 				return notice && m.to == leaving.key()
@@ -561,7 +564,7 @@
 			c.drops = nil
 			c.quiesce()
 			So(leaving.machine.Report().DrainedDown, ShouldBeTrue)
-			So(gone.machine.jobs["job"].durableResults, ShouldEqual, 1)
+			So(wiped.machine.jobs["job"].durableResults, ShouldEqual, 1)
 			So(stays.machine.jobs["job"].durableResults, ShouldEqual, 1)
 		}
 	})
--- a/internal/batch/replica/golden_test.go
+++ b/internal/batch/replica/golden_test.go
@@ -8,14 +8,14 @@
 	"sprucelane.example/sprucelane/internal/protocol"
 )
 
-// TestGoldenMessages holds the messages between stores to the form that earlier versions send.
+// TestGoldenMessages compares the messages between stores with the encoding that earlier versions send.
 func TestGoldenMessages(t *testing.T) {
 	for number, named := range wireTypes() {
 		golden.Message(t, fmt.Sprintf("message-%02d", number), named.Sample)
 	}
 }
 
-// TestGoldenRecords holds the records of a store's log to the form that earlier versions wrote.
+// TestGoldenRecords compares the records of a store's log with the encoding that earlier versions wrote.
 func TestGoldenRecords(t *testing.T) {
 	var replicas []protocol.Process
 	golden.Fill(&replicas)
--- a/internal/batch/replica/injectedbugs_test.go
+++ b/internal/batch/replica/injectedbugs_test.go
@@ -10,8 +10,8 @@
 	"sprucelane.example/sprucelane/internal/protocol"
 )
 
-// Bugs that are injected into a simulation, to show that it finds them. Each is in the harness, not in the
-// code under test.
+// This file contains bugs that are injected into a simulation, to show that it detects them. Each bug is in the test
+// code, not in the code under test.
 
 const (
 	bugCopyOverResults        = "a copy record over results that are not durable"
@@ -28,7 +28,8 @@
 	bugKeepsGrantsAcrossViews = "what was granted in an earlier view is not counted anew"
 )
 
-// buggyDisk returns a disk on whose files an operation does nothing, if the run's bug is one of the disk.
+// buggyDisk returns a disk on whose files an operation does nothing, if the run's bug is one of the disk. Otherwise it
+// returns the disk itself.
 func (sim *storeSimulation) buggyDisk(disk slots.FS) slots.FS {
 	switch sim.bug {
 	case bugDurableEarly:
@@ -81,19 +82,19 @@
 	return f.File.Truncate(size)
 }
 
-// injectAcknowledgement answers the owner, now and then, at once that what it sent is durable, before it is.
+// injectAcknowledgement reports to the owner, in some cases, that the records it sent are durable before they are.
 func (s *simulatedStore) injectAcknowledgement(owner protocol.Process, message any) {
 	replicate, ok := message.(ReplicationRequest)
 	j := s.machine.jobs[replicate.Job]
 	if s.sim.bug != bugAckEarly || !ok || j == nil || j.version != replicate.Version || s.sim.random.IntN(3) > 0 {
-		return // not always: two answers to each message would multiply the messages without end
+		return // not always, because two answers to each message would multiply the messages without end
 	}
 	s.Send(owner, ReplicationResponse{
 		Stamp: s.machine.stamp(), Job: j.id, Held: true, Version: j.version, Count: len(j.results), Ended: j.ended,
 	})
 }
 
-// injectBugs breaks, now and then, the state of a state machine.
+// injectBugs corrupts the state of a state machine at random intervals, if the run's bug requires it.
 func (c *campaign) injectBugs() {
 	if c.bug == bugGrantBeforeAllClaims || c.bug == bugKeepsGrantsAcrossViews {
 		c.injectCounterBugs()
@@ -119,7 +120,7 @@
 	}
 }
 
-// injectCopy writes a copy with the durable results only, behind results that are not durable yet.
+// injectCopy writes a copy with only the durable results, after results that are not durable yet.
 func (s *simulatedStore) injectCopy(j *storedJob) {
 	message := ReplicationRequest{}
 	if s.machine.fillFullCopy(j, &message, j.durableResults) {
@@ -128,13 +129,13 @@
 	}
 }
 
-// lossFailures are parts of failures that say that something promised is missing.
+// lossFailures are parts of the texts of failures in which promised data is missing.
 var lossFailures = []string{
 	"404", "can't be read", "is fully replicated on", "results were read", "position", "isn't answered",
 }
 
-// injectedBugs lists the bugs, with the failures that must show each, the faults that bring it about, and the
-// first seed, which saves the runs that are known not to find it.
+// injectedBugs lists the bugs, with the failures that must show each, the faults that trigger it, and the first seed,
+// which skips the runs that are known not to find it.
 var injectedBugs = []struct {
 	name      string
 	failures  []string
@@ -155,11 +156,10 @@
 	{bugKeepsGrantsAcrossViews, []string{"tokens are queued"}, []string{faultWipe, faultGrow, faultRetire}, 0},
 }
 
-// maxSeedsPerBug is the number of runs in which a bug must be found.
+// maxSeedsPerBug is the maximum number of runs in which a bug must be found.
 const maxSeedsPerBug = 1000
 
-// TestInjectedBugs shows that the simulations find what they are for: each bug breaks a run that passes
-// without it.
+// TestInjectedBugs shows that the simulations detect bugs: each bug makes a run fail that passes without it.
 func TestInjectedBugs(t *testing.T) {
 	for _, bug := range injectedBugs {
 		t.Run(bug.name, func(t *testing.T) {
@@ -173,7 +173,7 @@
 					return
 				}
 			}
-			t.Error("not found")
+			t.Error("bug not found")
 		})
 	}
 }
--- a/internal/batch/replica/itemfailures_test.go
+++ b/internal/batch/replica/itemfailures_test.go
@@ -8,7 +8,7 @@
 	"sprucelane.example/sprucelane/internal/protocol"
 )
 
-// failuresAt returns what a node would tell its runner of an item's failures.
+// failuresAt returns the failures of an item as a node reports them to its runner.
 func failuresAt(n *clusterNode, id string, index int) Failures {
 	work, ok := n.machine.Work(id)
 	So(ok, ShouldBeTrue)
@@ -20,9 +20,9 @@
 	return Failures{}
 }
 
-// TestFailuresOutliveOwners has servers fail items, and changes the owner of their batch job.
+// TestFailuresOutliveOwners records failures of items, and then changes the owner of their batch job.
 func TestFailuresOutliveOwners(t *testing.T) {
-	Convey("Failures that an owner has told", t, func() {
+	Convey("Failures that an owner has sent to its replicas", t, func() {
 		c := newCluster(4, 2, 1)
 		So(c.nodes[0].submit("job", 3).Status, ShouldEqual, 202)
 		owner, replica := c.owner("job"), c.replicaOf("job")
@@ -58,14 +58,14 @@
 			So(c.owner("job"), ShouldEqual, owner)
 			check(owner)
 		})
-		Convey("go with a batch job that is handed over", func() {
+		Convey("are handed over with the batch job", func() {
 			owner.state = protocol.StoreRetiring
 			c.installView(c.nodes...)
 			c.quiesce()
 			So(c.owner("job"), ShouldNotEqual, owner)
 			check(c.owner("job"))
 		})
-		Convey("never fall, whatever comes late", func() {
+		Convey("never decrease, even if a lower count is recorded later", func() {
 			owner.machine.RecordFailures("job", 1, Failures{Count: 1})
 			c.quiesce()
 			check(owner)
--- a/internal/batch/replica/losses_test.go
+++ b/internal/batch/replica/losses_test.go
@@ -11,36 +11,36 @@
 	"sprucelane.example/sprucelane/internal/simulation"
 )
 
-// Random histories of losses on a cluster, step by step: machines that stay away while others are lost and
-// return, lost disks, losses of all power, restarts, views that some learn of late or not at all, added and
-// retired stores. No more machines are away or without their disks at once than may be, counted since control
-// agreed that all have reconciled.
+// This file runs random histories of losses on a cluster, step by step: machines that are absent while others are
+// lost and return, lost disks, losses of all power, restarts, views that some stores receive late or not at all, and
+// added and retired stores. Since control last agreed that all members have reconciled, no more machines are absent
+// or have lost their disks than must be tolerated.
 
 const (
 	lossSteps    = 14
-	lossJobsStep = 3 // batch jobs that one step submits
+	lossJobsStep = 3 // number of batch jobs that one step submits
 )
 
 // lossHistory is one history.
 type lossHistory struct {
 	*cluster
-	random   *rand.Rand
-	seed     uint64
-	allowed  int // machines that may be lost at once
-	late     bool
-	lost     map[int]bool // machines that were lost or went away since all had reconciled
-	away     map[int]bool
-	removed  map[int]bool // retired and taken away
-	accepted []string
-	events   []string
-	failure  string
+	random    *rand.Rand
+	seed      uint64
+	tolerance int // number of machines that may be lost at once
+	lateViews bool
+	lost      map[int]bool // machines that lost their disks or were absent since all stores had reconciled
+	away      map[int]bool
+	removed   map[int]bool // machines that were retired and removed
+	accepted  []string
+	events    []string
+	failure   string
 }
 
-func newLossHistory(seed uint64, late bool) *lossHistory {
-	allowed := 1 + int(seed%2)
+func newLossHistory(seed uint64, lateViews bool) *lossHistory {
+	tolerance := 1 + int(seed%2)
 	h := &lossHistory{
-		cluster: newCluster(2*allowed+2, allowed+1, seed), random: rand.New(rand.NewPCG(seed, 1)),
-		seed: seed, allowed: allowed, late: late,
+		cluster: newCluster(2*tolerance+2, tolerance+1, seed), random: rand.New(rand.NewPCG(seed, 1)),
+		seed: seed, tolerance: tolerance, lateViews: lateViews,
 		lost: map[int]bool{}, away: map[int]bool{}, removed: map[int]bool{},
 	}
 	h.cluster.quiesce()
@@ -57,7 +57,7 @@
 	}
 }
 
-// remaining returns the machines that are neither away nor removed.
+// remaining returns the machines that are neither absent nor removed.
 func (h *lossHistory) remaining() (list []*clusterNode) {
 	for _, n := range h.nodes {
 		if !h.away[n.number] && !h.removed[n.number] {
@@ -67,36 +67,36 @@
 	return list
 }
 
-// chance is true once in so many times.
-func (h *lossHistory) chance(one int) bool { return h.random.IntN(one) == 0 }
+// oneIn returns true with a probability of 1/times.
+func (h *lossHistory) oneIn(times int) bool { return h.random.IntN(times) == 0 }
 
-// changeMembers has control agree on the set of those that remain; now and then after a view that reaches
-// no store. In late histories some learn of it only after the others have gone on, with messages lost
-// meanwhile.
+// changeMembers makes control agree on the set of the remaining machines, sometimes after a view that reaches no
+// store. With lateViews some stores receive the view only after the others have continued without them, and
+// messages are lost in the meantime.
 func (h *lossHistory) changeMembers() {
-	if h.chance(3) {
+	if h.oneIn(3) {
 		h.epoch++
 	}
 	list := h.remaining()
-	if !h.late {
+	if !h.lateViews {
 		h.cluster.installView(list...)
 		return
 	}
 	var unaware []*clusterNode
 	for i, n := range list {
-		if i > 0 && h.chance(3) {
+		if i > 0 && h.oneIn(3) {
 			unaware = append(unaware, n)
 		}
 	}
 	h.uninformed = func(n *clusterNode) bool { return slices.Contains(unaware, n) }
 	h.cluster.installView(list...)
-	h.cluster.drops = func(clusterMessage) bool { return h.chance(8) }
+	h.cluster.drops = func(clusterMessage) bool { return h.oneIn(8) }
 	for range h.random.IntN(4) {
 		h.round()
 	}
 	h.uninformed = nil
 	for _, n := range unaware {
-		if !h.chance(3) {
+		if !h.oneIn(3) {
 			h.rejoin(n)
 		}
 	}
@@ -120,19 +120,19 @@
 	list := h.remaining()
 	n := list[h.random.IntN(len(list))]
 	switch kind := h.random.IntN(11); {
-	case kind <= 1 && len(h.lost) < h.allowed && len(list) > h.allowed+1:
+	case kind <= 1 && len(h.lost) < h.tolerance && len(list) > h.tolerance+1:
 		h.note("%s goes away", n.key())
 		n.kill()
 		h.away[n.number], h.lost[n.number] = true, true
 		h.changeMembers()
-	case kind == 2 && len(h.lost) < h.allowed:
+	case kind == 2 && len(h.lost) < h.tolerance:
 		h.note("%s loses its disk", n.key())
 		h.lost[n.number] = true
 		n.wipe()
 		n.start()
 		h.changeMembers()
 	case kind == 3 && len(h.away) > 0:
-		h.returns(h.firstAway())
+		h.restart(h.firstAway())
 		h.changeMembers()
 	case kind == 4:
 		h.note("all processes start again")
@@ -143,16 +143,16 @@
 		}
 	case kind <= 6:
 		h.losePower(list)
-	case kind == 7 && len(h.nodes) < 2*h.allowed+5:
+	case kind == 7 && len(h.nodes) < 2*h.tolerance+5:
 		h.add()
-	case kind == 8 && len(list) > h.allowed+2 && len(h.lost) == 0:
+	case kind == 8 && len(list) > h.tolerance+2 && len(h.lost) == 0:
 		h.retire(n)
 	default:
 		h.submit(n)
 	}
 }
 
-// firstAway returns the first machine that is away; nil if none is.
+// firstAway returns the first machine that is absent; nil if none is.
 func (h *lossHistory) firstAway() *clusterNode {
 	for _, n := range h.nodes {
 		if h.away[n.number] {
@@ -162,28 +162,28 @@
 	return nil
 }
 
-// returns starts a machine that was away.
-func (h *lossHistory) returns(n *clusterNode) {
+// restart starts a machine that was absent.
+func (h *lossHistory) restart(n *clusterNode) {
 	h.note("%s comes back", n.key())
 	delete(h.away, n.number)
 	n.start()
 }
 
-// losePower cuts the power of all that remain, and loses some disks. They return one by one, those that were
-// away perhaps first.
+// losePower cuts the power of all remaining machines, and loses some disks. The machines return one by one, sometimes
+// with those that were absent before first.
 func (h *lossHistory) losePower(list []*clusterNode) {
 	for _, n := range list {
 		n.losePower()
 	}
 	for _, n := range list {
-		if len(h.lost) < h.allowed && !h.lost[n.number] && h.chance(2) {
+		if len(h.lost) < h.tolerance && !h.lost[n.number] && h.oneIn(2) {
 			h.lost[n.number] = true
 			n.wipe()
 		}
 	}
-	h.note("all lose power; lost or away since all had reconciled: %v", h.lost)
+	h.note("all lose power; lost or absent since all had reconciled: %v", h.lost)
 	h.random.Shuffle(len(list), func(i, j int) { list[i], list[j] = list[j], list[i] })
-	if h.chance(2) {
+	if h.oneIn(2) {
 		for n := h.firstAway(); n != nil; n = h.firstAway() {
 			delete(h.away, n.number)
 			list = append([]*clusterNode{n}, list...)
@@ -193,25 +193,26 @@
 		h.away[n.number] = true
 	}
 	for i, n := range list {
-		h.returns(n)
-		if i == len(list)-1 || h.chance(2) {
+		h.restart(n)
+		if i == len(list)-1 || h.oneIn(2) {
 			h.changeMembers()
 		}
-		if h.chance(3) {
+		if h.oneIn(3) {
 			h.cluster.quiesce()
 		}
 		h.checkNotDenied(n)
 	}
 }
 
-// checkNotDenied asks a store, which may be one of the first that are back, for an accepted batch job.
+// checkNotDenied reads an accepted batch job at a store, which may be one of the first that have returned. The store
+// must not answer 404.
 func (h *lossHistory) checkNotDenied(n *clusterNode) {
-	if len(h.accepted) == 0 || !h.chance(3) {
+	if len(h.accepted) == 0 || !h.oneIn(3) {
 		return
 	}
 	id := h.accepted[h.random.IntN(len(h.accepted))]
 	if _, status := n.read(id); status == 404 {
-		h.failf("%s denies %s", n.key(), id)
+		h.failf("%s answers 404 for the accepted batch job %s", n.key(), id)
 	}
 }
 
@@ -224,7 +225,7 @@
 	h.changeMembers()
 }
 
-// retire drains a store and takes it away, while all are there.
+// retire drains a store and removes it.
 func (h *lossHistory) retire(n *clusterNode) {
 	h.note("%s retires", n.key())
 	n.state = protocol.StoreRetiring
@@ -237,7 +238,7 @@
 	}
 	n.state = protocol.StoreRetired
 	h.changeMembers()
-	if h.chance(2) {
+	if h.oneIn(2) {
 		h.cluster.quiesce()
 	}
 	n.wipe()
@@ -255,23 +256,24 @@
 	h.note("%d batch jobs", len(h.accepted))
 }
 
-// play runs a history to its end, when all are back: all that was accepted is there, and all have reconciled.
-func (h *lossHistory) play() {
+// run runs a history until all machines have returned, and checks that all accepted batch jobs can be read and all
+// stores have reconciled.
+func (h *lossHistory) run() {
 	for range lossSteps {
 		h.step()
-		if !h.chance(4) {
+		if !h.oneIn(4) {
 			h.reconcileAll()
 		}
 	}
 	for n := h.firstAway(); n != nil; n = h.firstAway() {
-		h.returns(n)
+		h.restart(n)
 	}
 	h.changeMembers()
 	h.reconcileAll()
 	h.reconcileAll()
 	for _, id := range h.accepted {
 		if _, status := h.remaining()[0].readAnywhere(id); status != 200 {
-			h.failf("%s is answered with %d", id, status)
+			h.failf("a read of %s is answered %d, want 200", id, status)
 		}
 	}
 	for _, n := range h.remaining() {
@@ -284,19 +286,19 @@
 	}
 }
 
-// TestRandomLosses runs histories; SEEDS=N runs N of each kind, FIRST=S begins at seed S.
+// TestRandomLosses runs random histories. SEEDS=N runs N of each kind, FIRST=S starts at seed S.
 func TestRandomLosses(t *testing.T) {
 	seeds, first := modelSeeds(250)
-	for _, late := range []bool{false, true} {
+	for _, lateViews := range []bool{false, true} {
 		accepted := 0
 		for seed := first; seed < first+seeds; seed++ {
-			h := newLossHistory(seed, late)
-			h.play()
+			h := newLossHistory(seed, lateViews)
+			h.run()
 			accepted += len(h.accepted)
 			if h.failure != "" {
-				t.Errorf("late %t, FIRST=%d SEEDS=1: %s\n%s", late, seed, h.failure, strings.Join(h.events, "\n"))
+				t.Errorf("late %t, FIRST=%d SEEDS=1: %s\n%s", lateViews, seed, h.failure, strings.Join(h.events, "\n"))
 			}
 		}
-		t.Logf("late %t: %d histories, %d batch jobs accepted", late, seeds, accepted)
+		t.Logf("late %t: %d histories, %d batch jobs accepted", lateViews, seeds, accepted)
 	}
 }
--- a/internal/batch/replica/model_test.go
+++ b/internal/batch/replica/model_test.go
@@ -12,40 +12,40 @@
 	"sprucelane.example/sprucelane/internal/protocol"
 )
 
-// A model of one batch job's replica set: real state machines, and a fixed order of steps. A step delivers a
-// message, syncs a disk, or, if there is neither, lets time pass. There is no randomness in it: a run is
-// determined by its faults and the steps before which they are injected.
+// This file contains a model of one batch job's replica set: real state machines, whose steps have a fixed order. A
+// step delivers a message or, if there is none, syncs a disk or, if no disk has unsynced records, lets time pass. The
+// model has no randomness: a run is determined by its faults and the steps before which they are injected.
 
 const (
 	modelRound     = 300 * time.Millisecond
 	modelLease     = 2 * modelRound
-	modelTimeout   = 3 * modelRound // after which control evicts a store whose lease is over
+	modelTimeout   = 3 * modelRound // time without contact after which control evicts a store whose lease has ended
 	modelJob       = "j"
 	modelItems     = 2
 	modelMaxSteps  = 5000
-	modelMaxRounds = 80 // after the last fault, in which the run must end
+	modelMaxRounds = 80 // maximum number of rounds after the last fault
 )
 
-// modelBugs are injected by tests that show that the model finds them.
+// modelBugs are the bugs that tests inject to show that the model detects them.
 type modelBugs struct {
-	keepsIncarnation bool // a store whose disk was lost comes back as if it hadn't been away
+	keepsIncarnation bool // a store whose disk was lost returns as if it hadn't been away
 	earlyDurable     bool // records count as durable when they are written
-	underReplicated  bool // a batch job is on as many disks as may be lost
+	underReplicated  bool // a batch job is on only as many disks as may be lost
 	earlyReplicated  bool // replicas count as complete before they are
-	emptyInventories bool // inventories list nothing
-	retireEarly      bool // a store counts as drained once it is asked to be
-	endlessLease     bool // a store that was paused never finds its lease ended
-	keepsVersion     bool // an owner that was away goes on under the version that it had
+	emptyInventories bool // inventories list no batch jobs
+	retireEarly      bool // a store counts as drained as soon as it retires
+	endlessLease     bool // the lease of a store that was paused doesn't end
+	keepsVersion     bool // an owner that was away continues under the version that it had
 }
 
-// modelMessage is a message on its way.
+// modelMessage is a message that hasn't been delivered yet.
 type modelMessage struct {
 	from protocol.Process
 	to   placement.Key
 	body any
 }
 
-// modelCluster is one run.
+// modelCluster is one run of the model.
 type modelCluster struct {
 	bugs              modelBugs
 	replicationFactor int
@@ -54,9 +54,9 @@
 	view              protocol.StoreView
 	messages          []modelMessage
 	steps             int
-	rounds            int  // since the last fault
-	allowedLosses     int  // disks that may be lost now
-	begun             bool // the client has begun
+	rounds            int  // number of rounds since the last fault
+	allowedLosses     int  // number of disks that may be lost now
+	clientStarted     bool // the client takes steps
 	client            modelClient
 	failure           string
 	events            []string
@@ -70,33 +70,33 @@
 	processIncarnation uint64
 	machine            *StateMachine
 	disk               [][]byte
-	durable            int // records that a loss of power leaves
-	base               int // records at the start of the process
+	durable            int // number of records that remain after a loss of power
+	base               int // number of records at the start of the process
 	up, paused         bool
-	removed            bool          // for good
-	startAt            time.Duration // if it is down
+	removed            bool          // removed permanently
+	startAt            time.Duration // when the process starts again, while it is down
 	resumeAt           time.Duration
 	lastContact        time.Duration
-	wipedAt            time.Duration // it lost its last disk
+	wipedAt            time.Duration // when the store lost its last disk
 	leaseUntil         time.Duration
 	delayedInputs      []func()
 	answers            map[CallID]func(protocol.BatchAnswer)
 	lastCall           CallID
-	shown              int // results that were read from this incarnation
-	audited            int // records that audit was read from
+	shown              int // number of results that were read from this incarnation
+	audited            int // number of records from which audit was read
 	audit              *diskCopy
 }
 
-// diskCopy is what is durable of the batch job on a disk.
+// diskCopy is the durable copy of the batch job on a disk.
 type diskCopy struct {
 	version Version
-	results []string // by position: item and text
+	results []string // items and texts by position
 	ended   bool
 }
 
 func newModelCluster(count, copies int, bugs modelBugs) *modelCluster {
 	sim := &modelCluster{bugs: bugs, replicationFactor: copies}
-	sim.client.begin()
+	sim.client.prepare()
 	for range count {
 		sim.add()
 	}
@@ -145,7 +145,7 @@
 	}
 }
 
-// stop ends the process; what wasn't synced may stay, as when only the process is killed.
+// stop ends the process for a duration. If keep is set, unsynced records stay, as when only the process is killed.
 func (s *modelStore) stop(keep bool, down time.Duration) {
 	if !s.up {
 		return
@@ -158,7 +158,7 @@
 	s.durable = len(s.disk)
 }
 
-// wipe ends the process and loses its disk; it starts on an empty one.
+// wipe ends the process and loses its disk. The process starts again on an empty disk.
 func (s *modelStore) wipe(down time.Duration) {
 	s.stop(false, down)
 	s.wipedAt = s.model.now
@@ -170,7 +170,7 @@
 	s.incarnation++
 }
 
-// do handles an input now, when the process resumes, or never.
+// do handles an input: at once if the process runs, when it resumes if it is paused, or never if it is down.
 func (s *modelStore) do(input func()) {
 	switch {
 	case !s.up:
@@ -181,7 +181,7 @@
 	}
 }
 
-// resume runs a paused process on, with what arrived meanwhile.
+// resume continues a paused process, with the inputs that arrived during the pause.
 func (s *modelStore) resume() {
 	s.paused = false
 	inputs := s.delayedInputs
@@ -197,7 +197,7 @@
 func (s *modelStore) WallClock() int64                { return s.model.now.Milliseconds() }
 func (s *modelStore) QueueLimit(string) (int64, bool) { return 0, true }
 
-// ItemLifetime is without limit.
+// ItemLifetime returns no limit.
 func (s *modelStore) ItemLifetime(string) (time.Duration, bool) { return 0, true }
 
 func (s *modelStore) FreeBytes() int64 { return 1 << 40 }
@@ -225,7 +225,7 @@
 		return
 	}
 	if answer.Status != 503 && answer.Owner == "" && !s.machine.MayAct() {
-		return // as the server does right before an answer leaves
+		return // as the server does immediately before it sends an answer
 	}
 	answered(answer)
 }
@@ -238,7 +238,7 @@
 	})
 }
 
-// sync makes all that was written durable.
+// sync makes all written records durable.
 func (s *modelStore) sync() {
 	s.durable = len(s.disk)
 	s.machine.Synced(uint64(s.durable - s.base))
@@ -246,7 +246,8 @@
 
 func (s *modelStore) unsynced() bool { return s.up && !s.paused && s.durable < len(s.disk) }
 
-// step delivers the next message, else syncs a disk, else lets a round pass; then it checks all stores.
+// step delivers the next message or, if there is none, syncs a disk or, if that isn't needed, lets a round pass. Then
+// it checks all stores.
 func (sim *modelCluster) step() {
 	sim.steps++
 	if sim.steps > modelMaxSteps {
@@ -271,7 +272,7 @@
 	sim.check()
 }
 
-// deliver hands a message to the store whose disk has the key, if there is one still.
+// deliver delivers a message to the store whose disk has the key, if there still is one.
 func (sim *modelCluster) deliver(message modelMessage) {
 	at := slices.IndexFunc(sim.stores, func(s *modelStore) bool { return s.key() == message.to })
 	if at < 0 {
@@ -295,8 +296,8 @@
 	s.do(func() { s.machine.Receive(message.from, body) })
 }
 
-// round lets time pass: processes start, control updates the view, leases are renewed, state machines
-// tick, and the client goes on.
+// round lets time pass: processes start, control updates the view, leases are renewed, state machines tick, and the
+// client takes a step.
 func (sim *modelCluster) round() {
 	sim.rounds++
 	sim.now += modelRound
@@ -307,7 +308,7 @@
 			s.start()
 		case s.up && s.paused && sim.now >= s.resumeAt:
 			s.resume()
-			continue // it gets the view and a lease in the next round
+			continue // the store gets the view and a lease in the next round
 		}
 		if s.up && !s.paused {
 			s.lastContact = sim.now
@@ -337,12 +338,12 @@
 		s.machine.GrantLease(sim.view.Epoch, member, until)
 		s.machine.Tick()
 	}
-	if sim.begun {
+	if sim.clientStarted {
 		sim.client.step(sim)
 	}
 }
 
-// runControl changes the view, one change a round, as control does.
+// runControl changes the view as control does, with at most one change of the members in a round.
 func (sim *modelCluster) runControl() {
 	members := slices.Clone(sim.view.Members)
 	for i := range members {
@@ -375,7 +376,7 @@
 	}
 }
 
-// allReconciled reports whether all members have reported that they reconciled, as control asks.
+// allReconciled reports whether all members have reported that they reconciled, as control requires.
 func (sim *modelCluster) allReconciled() bool {
 	for _, member := range sim.view.Members {
 		s := sim.storeOf(placement.KeyOf(member.Process))
@@ -429,9 +430,8 @@
 	return nil
 }
 
-// toleratesLoss reports whether the next loss of as many disks as may be lost has to be tolerated: all
-// members of the newest view are up, enough of them active, and control has agreed that they have reconciled
-// in that view.
+// toleratesLoss reports whether the next loss of as many disks as may be lost has to be tolerated: all members of the
+// newest view are up, enough of them are active, and control has agreed that they have reconciled in that view.
 func (sim *modelCluster) toleratesLoss() bool {
 	active := 0
 	for _, member := range sim.view.Members {
@@ -451,14 +451,14 @@
 	submission []byte
 	items      []job.Item
 	accepted   bool
-	seen       []string // by position
+	seen       []string // results that were shown, by position
 	ended      bool
-	texts      int
+	textCount  int
 	stepCount  int
 }
 
-// begin makes the submission.
-func (c *modelClient) begin() {
+// prepare prepares the submission.
+func (c *modelClient) prepare() {
 	var requests []submittedRequest
 	for i := range modelItems {
 		requests = append(requests, submittedRequest{ID: "i" + strconv.Itoa(i), Path: "/p", Body: []byte{'b'}})
@@ -466,7 +466,7 @@
 	c.submission, c.items = encodeSubmission(requests)
 }
 
-// step takes the next step of the client: one item a round, on every store that may run it.
+// step takes the next step of the client: it submits the batch job, finishes an item, or ends the batch job.
 func (c *modelClient) step(sim *modelCluster) {
 	c.stepCount++
 	switch {
@@ -483,7 +483,7 @@
 	}
 }
 
-// call sends a call to one store after the other, and to the owner that it names.
+// call sends a call to a store, a different one in each step, and then to the owner that it names.
 func (c *modelClient) call(sim *modelCluster, call protocol.BatchCall, done func(protocol.BatchAnswer)) {
 	call.BatchJob, call.Tenant, call.Route = modelJob, "t", "r"
 	s := sim.stores[c.stepCount%len(sim.stores)]
@@ -500,20 +500,20 @@
 	})
 }
 
-// run finishes the next item wherever it may run, with a text of its own.
+// run finishes the next item at every store that may run it, each time with a different text.
 func (c *modelClient) run(sim *modelCluster) {
 	for _, s := range sim.stores {
 		for index := range modelItems {
 			if s.up && !s.paused && index <= len(c.seen) && s.machine.MayRun(modelJob, index) {
-				c.texts++
-				s.machine.Finish(modelJob, index, job.Completed, fmt.Appendf(nil, "text %d", c.texts))
+				c.textCount++
+				s.machine.Finish(modelJob, index, job.Completed, fmt.Appendf(nil, "text %d", c.textCount))
 				break
 			}
 		}
 	}
 }
 
-// done reports whether everything has been acknowledged, and no store is yet to be drained.
+// done reports whether the end has been acknowledged, and no store has yet to be drained.
 func (sim *modelCluster) done() bool {
 	return sim.client.ended && !slices.ContainsFunc(sim.view.Members, func(m protocol.StoreMember) bool {
 		return m.State != protocol.StoreActive
--- a/internal/batch/replica/modelcheck_test.go
+++ b/internal/batch/replica/modelcheck_test.go
@@ -10,11 +10,11 @@
 	"sprucelane.example/sprucelane/internal/protocol"
 )
 
-// What the model checks after each step.
+// This file contains the checks of the model after each step.
 
 const modelDataLost = "no surviving copy of the highest version holds all that was acknowledged"
 
-// check checks, after each step, that one store at most may run items, and that nothing acknowledged is lost.
+// check checks, after each step, that at most one store may run items, and that no acknowledged data is lost.
 func (sim *modelCluster) check() {
 	if sim.toleratesLoss() {
 		sim.allowedLosses = sim.replicationFactor - 1
@@ -41,7 +41,7 @@
 	return j != nil && s.machine.MayAct() && j.owned && j.replicated && !j.ended && len(j.handoverReplicas) == 0
 }
 
-// read reads at the owner what it hasn't shown in this incarnation yet.
+// read reads, at an owner, the results and the end that it hasn't shown in this incarnation yet.
 func (sim *modelCluster) read(s *modelStore) {
 	j := s.machine.jobs[modelJob]
 	if j == nil || !j.owned || !j.replicated || !s.machine.MayAct() {
@@ -49,35 +49,36 @@
 	}
 	if j.committedResults > s.shown || sim.client.ended != j.ended {
 		s.shown = j.committedResults
-		sim.seeAll(s, j)
+		sim.checkShown(s, j)
 	}
 }
 
-// seeAll checks what a store shows against what was shown before.
-func (sim *modelCluster) seeAll(s *modelStore, j *storedJob) {
+// checkShown checks the results and the end that a store shows against those that were shown before.
+func (sim *modelCluster) checkShown(s *modelStore, j *storedJob) {
 	if sim.client.ended && !j.ended {
 		sim.fail("%s serves an ended batch job as open", s.node)
 	}
 	if j.committedResults < len(sim.client.seen) && j.ended {
-		sim.fail("%s shows %d results of an ended batch job, %d were", s.node, j.committedResults, len(sim.client.seen))
+		sim.fail("%s shows %d results of an ended batch job, %d were shown before",
+			s.node, j.committedResults, len(sim.client.seen))
 	}
 	for position := range j.committedResults {
 		result, ok := s.machine.result(j, position)
 		if !ok {
-			sim.fail("%s can't read what it shows", s.node)
+			sim.fail("%s shows a result that it can't read", s.node)
 			return
 		}
 		text := fmt.Sprintf("item %d: %s", result.Item, result.Text)
 		switch {
 		case position < len(sim.client.seen) && sim.client.seen[position] != text:
-			sim.fail("%s shows %q at %d, %q was", s.node, text, position, sim.client.seen[position])
+			sim.fail("%s shows %q at position %d, %q was shown before", s.node, text, position, sim.client.seen[position])
 		case position == len(sim.client.seen):
 			sim.client.seen = append(sim.client.seen, text)
 		}
 	}
 }
 
-// audit checks that what was acknowledged is on a surviving copy of the highest version.
+// audit checks that a surviving copy of the highest version holds all that was acknowledged.
 func (sim *modelCluster) audit() {
 	if !sim.client.accepted {
 		return
@@ -98,7 +99,7 @@
 	sim.fail(modelDataLost)
 }
 
-// durableCopy reads what is durable on the store's disk.
+// durableCopy returns the durable copy on the store's disk, nil if there is none.
 func (s *modelStore) durableCopy() *diskCopy {
 	if s.audited == s.durable {
 		return s.audit
@@ -119,7 +120,7 @@
 	return s.audit
 }
 
-// checkEnd checks that the run came to its end.
+// checkEnd checks that the run is done.
 func (sim *modelCluster) checkEnd() {
 	if !sim.done() {
 		sim.fail("not done %d rounds after the last fault: accepted %v, shown %d, ended %v",
@@ -127,7 +128,7 @@
 	}
 }
 
-// retire asks for a store to be drained, if enough others are up and remain.
+// retire makes a store retire, if enough other active stores are up. It reports whether it did.
 func (sim *modelCluster) retire(s *modelStore) bool {
 	members := slices.Clone(sim.view.Members)
 	at := slices.IndexFunc(members, func(m protocol.StoreMember) bool { return m.Process == s.process() })
--- a/internal/batch/replica/modelfaults_test.go
+++ b/internal/batch/replica/modelfaults_test.go
@@ -9,36 +9,36 @@
 	"testing"
 )
 
-// The model with faults before each of its steps, in pairs, and at random.
+// This file runs the model with faults before each of its steps, in pairs, and at random.
 
-// modelFault is one fault, injected before a step.
+// modelFault is a fault that is injected before a step.
 type modelFault struct {
 	kind  modelFaultKind
 	store int
 	step  int
 }
 
-// modelFaultKind is what happens.
+// modelFaultKind is a kind of fault.
 type modelFaultKind int
 
 // The kinds of faults.
 const (
-	modelWipe             modelFaultKind = iota // a disk is lost, the machine comes back empty at once
-	modelWipeLong                               // ... after the others have gone on without it
-	modelReplace                                // ... or never, and another machine comes
-	modelKill                                   // a process ends; what it wrote stays
-	modelCrash                                  // a machine loses power
-	modelCrashLong                              // ... until the others have gone on without it
-	modelPause                                  // a process is paused until the others have gone on without it
+	modelWipe             modelFaultKind = iota // a disk is lost, and the machine returns with an empty disk at once
+	modelWipeLong                               // as modelWipe, but it returns after the others have evicted it
+	modelReplace                                // a disk is lost, the machine never returns, and another one joins
+	modelKill                                   // a process ends; all that it wrote stays
+	modelCrash                                  // a machine loses power and returns at once
+	modelCrashLong                              // as modelCrash, but it returns after the others have evicted it
+	modelPause                                  // a process is paused until after the others have evicted it
 	modelRetire                                 // a store retires
-	modelPowerLoss                              // all lose power
-	modelPowerLossAndWipe                       // ... and one its disk
+	modelPowerLoss                              // all machines lose power
+	modelPowerLossAndWipe                       // all machines lose power, and one of them its disk
 	modelDropMessage                            // the next message is lost
-	modelDelayMessage                           // the next message comes after the others that are on their way
-	modelDuplicateMessage                       // the next message comes again later
+	modelDelayMessage                           // the next message is delivered after all that are waiting now
+	modelDuplicateMessage                       // the next message is delivered a second time later
 	modelAddStore                               // another store joins
 	modelFaultKinds
-	modelFirstWithoutStore = modelDropMessage // from here on no store is named
+	modelFirstWithoutStore = modelDropMessage // from this kind on, faults don't affect a certain store
 )
 
 var modelFaultNames = [modelFaultKinds]string{
@@ -49,12 +49,12 @@
 
 const modelLongAbsence = 2*modelTimeout + modelRound
 
-// losesDisk reports whether a disk is lost with its content.
+// losesDisk reports whether a fault loses a disk with its content.
 func (k modelFaultKind) losesDisk() bool {
 	return k == modelWipe || k == modelWipeLong || k == modelReplace || k == modelPowerLossAndWipe
 }
 
-// String names the step, the store and the fault.
+// String returns the step, the store and the kind of the fault.
 func (f modelFault) String() string {
 	if f.kind >= modelFirstWithoutStore {
 		return fmt.Sprintf("%d:%s", f.step, modelFaultNames[f.kind])
@@ -62,7 +62,8 @@
 	return fmt.Sprintf("%d:s%d %s", f.step, f.store+1, modelFaultNames[f.kind])
 }
 
-// inject injects a fault. It reports whether it could: no more disks are lost than must be tolerated.
+// inject injects a fault, and reports whether it did. It doesn't inject faults that lose more disks than must be
+// tolerated, or that are impossible in the present state.
 func (sim *modelCluster) inject(fault modelFault) bool {
 	s := sim.stores[fault.store]
 	lost := fault.kind.losesDisk()
@@ -111,7 +112,7 @@
 	return true
 }
 
-// disturbMessage loses, delays or duplicates the next message.
+// disturbMessage drops, delays or duplicates the next message. It reports whether there is one.
 func (sim *modelCluster) disturbMessage(kind modelFaultKind) bool {
 	if len(sim.messages) == 0 {
 		return false
@@ -126,14 +127,14 @@
 	return true
 }
 
-// play runs the model with faults, in the order of their steps, until the client is done. It returns how many
-// were injected.
-func (sim *modelCluster) play(faults []modelFault) (happened int) {
+// runFaults runs the model with faults, which are in the order of their steps, until the run is done. It returns the number
+// of injected faults.
+func (sim *modelCluster) runFaults(faults []modelFault) (injected int) {
 	sim.rounds = 0
 	for sim.failure == "" && (len(faults) > 0 || !sim.done()) && sim.rounds < modelMaxRounds {
 		for len(faults) > 0 && faults[0].step == sim.steps {
 			if sim.inject(faults[0]) {
-				happened++
+				injected++
 				sim.rounds = 0
 				sim.note("%v", faults[0])
 				sim.check()
@@ -148,7 +149,7 @@
 	if sim.failure == "" {
 		sim.checkEnd()
 	}
-	return happened
+	return injected
 }
 
 // newReconciledModel returns a model in which all stores are members and have reconciled.
@@ -157,25 +158,25 @@
 	for sim.failure == "" && (len(sim.view.Members) < count || !sim.toleratesLoss()) {
 		sim.step()
 	}
-	sim.steps, sim.rounds, sim.begun = 0, 0, true
+	sim.steps, sim.rounds, sim.clientStarted = 0, 0, true
 	return sim
 }
 
-// modelLength is the number of steps that a run without faults takes.
+// modelLength returns the number of steps of a run without faults.
 func modelLength(t testing.TB, count, copies int) int {
 	sim := newReconciledModel(count, copies, modelBugs{})
-	sim.play(nil)
+	sim.runFaults(nil)
 	if sim.failure != "" {
 		t.Fatalf("without faults: %s\n%s", sim.failure, strings.Join(sim.events, "\n"))
 	}
 	return sim.steps
 }
 
-// runModel runs the model with faults.
-func runModel(count, copies int, bugs modelBugs, faults ...modelFault) (sim *modelCluster, happened int) {
+// runModel runs a new model with faults. It returns the model and the number of injected faults.
+func runModel(count, copies int, bugs modelBugs, faults ...modelFault) (sim *modelCluster, injected int) {
 	sim = newReconciledModel(count, copies, bugs)
-	happened = sim.play(faults)
-	return sim, happened
+	injected = sim.runFaults(faults)
+	return sim, injected
 }
 
 func describeModelFailure(sim *modelCluster, faults []modelFault) string {
@@ -184,10 +185,10 @@
 
 var modelSizes = [][2]int{{3, 2}, {4, 2}, {4, 3}} // stores, copies
 
-// TestSetModel injects each fault before each step of a batch job's life.
+// TestSetModel injects each kind of fault before each step of a run, into each store.
 func TestSetModel(t *testing.T) {
 	for _, size := range modelSizes {
-		played, steps := 0, 0
+		runs, steps := 0, 0
 		length := modelLength(t, size[0], size[1])
 		for step := range length {
 			for kind := range modelFaultKinds {
@@ -196,8 +197,8 @@
 						break
 					}
 					faults := []modelFault{{kind: kind, store: store, step: step}}
-					sim, happened := runModel(size[0], size[1], modelBugs{}, faults...)
-					played += happened
+					sim, injected := runModel(size[0], size[1], modelBugs{}, faults...)
+					runs += injected
 					steps += sim.steps
 					if sim.failure != "" {
 						t.Fatal(describeModelFailure(sim, faults))
@@ -206,20 +207,21 @@
 			}
 		}
 		t.Logf("%d stores, %d copies: %d runs with a fault before each of %d steps, %d steps",
-			size[0], size[1], played, length, steps)
+			size[0], size[1], runs, length, steps)
 	}
 }
 
-// TestSetModelSecondLoss loses a disk, where one may be lost, or a message at each step after a loss, a
-// replacement, a retirement or an addition that began at each step. MODEL=full runs all pairs.
+// TestSetModelSecondLoss injects pairs of faults. The first is a loss, a replacement, a retirement or an addition, at
+// each step of a run; the second is the loss of a disk, if one may be lost, or of a message, at each of the following
+// steps. MODEL=full runs all pairs.
 func TestSetModelSecondLoss(t *testing.T) {
-	every := 61 // of the pairs is played
+	every := 61 // one of this many pairs is run
 	if os.Getenv("MODEL") == "full" {
 		every = 1
 	}
 	const stores, copies, after = 4, 2, 60
 	length := modelLength(t, stores, copies)
-	pairs, played, both := 0, 0, 0
+	pairs, runs, bothInjected := 0, 0, 0
 	for first := range length * stores * len(modelFirstFaults) {
 		for second := range after * stores * len(modelSecondFaults) {
 			if pairs++; pairs%every != 0 {
@@ -233,15 +235,15 @@
 					kind: modelSecondFaults[second/stores%len(modelSecondFaults)],
 				},
 			}
-			sim, happened := runModel(stores, copies, modelBugs{}, faults...)
+			sim, injected := runModel(stores, copies, modelBugs{}, faults...)
 			if sim.failure != "" {
 				t.Fatal(describeModelFailure(sim, faults))
 			}
-			played++
-			both += happened / 2
+			runs++
+			bothInjected += injected / 2
 		}
 	}
-	t.Logf("%d of %d pairs played, both came about in %d", played, pairs, both)
+	t.Logf("%d of %d pairs were run, both faults were injected in %d runs", runs, pairs, bothInjected)
 }
 
 var (
@@ -249,52 +251,54 @@
 	modelSecondFaults = []modelFaultKind{modelWipeLong, modelPowerLossAndWipe, modelDropMessage}
 )
 
-// TestSetModelVersionAfterAbsence has an owner come back to a set that needs no change, while another store,
-// which is away, has chosen a higher version that was never fully replicated. A random run found it.
+// TestSetModelVersionAfterAbsence guards against an owner that returns to a set that needs no change, and continues
+// under its old version, while an absent store has chosen a higher version that was never fully replicated. A random
+// run found this failure.
 func TestSetModelVersionAfterAbsence(t *testing.T) {
-	playTrace(t, 3, 2, modelFault{modelPause, 1, 17}, modelFault{modelCrashLong, 0, 30}, modelFault{modelCrashLong, 2, 49},
+	checkTrace(t, 3, 2, modelFault{modelPause, 1, 17}, modelFault{modelCrashLong, 0, 30}, modelFault{modelCrashLong, 2, 49},
 		modelFault{modelCrashLong, 1, 72})
 	faults := []modelFault{{modelPause, 1, 15}, {modelCrashLong, 2, 28}, {modelCrashLong, 0, 41}, {modelCrashLong, 1, 51}}
-	playTrace(t, 3, 2, faults...)
+	checkTrace(t, 3, 2, faults...)
 	if sim, _ := runModel(3, 2, modelBugs{keepsVersion: true}, faults...); !strings.Contains(sim.failure, modelDataLost) {
-		t.Errorf("not found where an owner keeps its version: %q", sim.failure)
+		t.Errorf("bug of an owner that keeps its version not found, failure %q", sim.failure)
 	}
 }
 
-// TestSetModelDrainedWhileAway drains a store while others are out of the view, and loses a disk meanwhile.
-// Random runs found these: a store that came back with the only copy missed the drained one as if it had been
-// lost.
+// TestSetModelDrainedWhileAway drains a store while others are out of the view, and loses a disk meanwhile. It guards
+// against a store that returns with the only copy and counts the drained store as departed, as if it had been lost.
+// Random runs found these failures.
 func TestSetModelDrainedWhileAway(t *testing.T) {
-	playTrace(t, 3, 2, modelFault{modelKill, 0, 17}, modelFault{modelPause, 2, 34}, modelFault{modelRetire, 0, 41},
+	checkTrace(t, 3, 2, modelFault{modelKill, 0, 17}, modelFault{modelPause, 2, 34}, modelFault{modelRetire, 0, 41},
 		modelFault{modelReplace, 1, 52})
-	playTrace(t, 4, 2, modelFault{modelRetire, 2, 2}, modelFault{modelRetire, 0, 13}, modelFault{modelWipeLong, 3, 23},
+	checkTrace(t, 4, 2, modelFault{modelRetire, 2, 2}, modelFault{modelRetire, 0, 13}, modelFault{modelWipeLong, 3, 23},
 		modelFault{modelPause, 1, 26})
-	playTrace(t, 4, 3, modelFault{modelPause, 2, 23}, modelFault{modelPause, 1, 23}, modelFault{modelRetire, 0, 24},
+	checkTrace(t, 4, 3, modelFault{modelPause, 2, 23}, modelFault{modelPause, 1, 23}, modelFault{modelRetire, 0, 24},
 		modelFault{modelWipe, 3, 64}, modelFault{modelPowerLossAndWipe, 2, 76})
-	// The message says that another one has reconciled.
-	playTrace(t, 4, 2, modelFault{modelRetire, 0, 0}, modelFault{modelDropMessage, 0, 30})
+	// The lost message reports that another store has reconciled.
+	checkTrace(t, 4, 2, modelFault{modelRetire, 0, 0}, modelFault{modelDropMessage, 0, 30})
 }
 
-// TestSetModelRestartWhileLeaving restarts a store while it hands over, and loses the successor's disk.
+// TestSetModelRestartWhileLeaving retires a store, restarts another one during the handover, and loses the successor's
+// disk.
 func TestSetModelRestartWhileLeaving(t *testing.T) {
-	playTrace(t, 4, 2, modelFault{modelRetire, 1, 35}, modelFault{modelCrash, 2, 66}, modelFault{modelWipe, 3, 98})
+	checkTrace(t, 4, 2, modelFault{modelRetire, 1, 35}, modelFault{modelCrash, 2, 66}, modelFault{modelWipe, 3, 98})
 }
 
-// TestSetModelDense injects several faults in quick succession, with the disk of one and the same machine
-// lost; SEEDS=N runs N of each size, FIRST=S starts at seed S.
+// TestSetModelDense injects several faults in quick succession, in which only one machine loses its disk. SEEDS=N runs
+// N seeds of each size, FIRST=S starts at seed S.
 func TestSetModelDense(t *testing.T) {
 	seeds, first := modelSeeds(2000)
 	for _, size := range [][2]int{{4, 2}, {4, 3}} {
-		happened := 0
+		injected := 0
 		for seed := first; seed < first+seeds; seed++ {
 			faults := denseFaults(seed, size[0])
 			sim, count := runModel(size[0], size[1], modelBugs{}, faults...)
-			happened += count
+			injected += count
 			if sim.failure != "" {
 				t.Errorf("%d stores, %d copies, FIRST=%d SEEDS=1: %s", size[0], size[1], seed, describeModelFailure(sim, faults))
 			}
 		}
-		t.Logf("%d stores, %d copies: %d runs, %d faults", size[0], size[1], seeds, happened)
+		t.Logf("%d stores, %d copies: %d runs, %d faults", size[0], size[1], seeds, injected)
 	}
 }
 
@@ -303,7 +307,7 @@
 	modelCrashLong, modelRetire,
 }
 
-// denseFaults draws faults that are at most 39 steps apart.
+// denseFaults returns random faults that are at most 39 steps apart.
 func denseFaults(seed uint64, stores int) []modelFault {
 	random := rand.New(rand.NewPCG(seed, 99))
 	var faults []modelFault
@@ -331,34 +335,34 @@
 	return seeds, first
 }
 
-// playTrace injects faults that were found to break something once.
-func playTrace(t *testing.T, stores, copies int, faults ...modelFault) {
+// checkTrace runs the model with faults that once led to a failure.
+func checkTrace(t *testing.T, stores, copies int, faults ...modelFault) {
 	t.Helper()
-	sim, happened := runModel(stores, copies, modelBugs{}, faults...)
+	sim, injected := runModel(stores, copies, modelBugs{}, faults...)
 	if sim.failure != "" {
 		t.Error(describeModelFailure(sim, faults))
 	}
-	if happened != len(faults) {
-		t.Errorf("%v: only %d of them came about", faults, happened)
+	if injected != len(faults) {
+		t.Errorf("%v: only %d of them were injected", faults, injected)
 	}
 }
 
-// TestSetModelRandom injects several faults in one run; SEEDS=N runs N of each size, FIRST=S starts at seed
-// S.
+// TestSetModelRandom injects several random faults in each run. SEEDS=N runs N seeds of each size, FIRST=S starts at
+// seed S.
 func TestSetModelRandom(t *testing.T) {
 	seeds, first := modelSeeds(600)
 	for _, size := range modelSizes {
 		length := modelLength(t, size[0], size[1])
-		happened := 0
+		injected := 0
 		for seed := first; seed < first+seeds; seed++ {
 			faults := randomFaults(seed, size[0], length)
 			sim, count := runModel(size[0], size[1], modelBugs{}, faults...)
-			happened += count
+			injected += count
 			if sim.failure != "" {
 				t.Errorf("%d stores, %d copies, FIRST=%d SEEDS=1: %s", size[0], size[1], seed, describeModelFailure(sim, faults))
 			}
 		}
-		t.Logf("%d stores, %d copies: %d runs, %d faults", size[0], size[1], seeds, happened)
+		t.Logf("%d stores, %d copies: %d runs, %d faults", size[0], size[1], seeds, injected)
 	}
 }
 
@@ -373,13 +377,13 @@
 	return faults
 }
 
-// TestSetModelFindsInjectedBugs checks that the faults find what they are for.
+// TestSetModelFindsInjectedBugs checks that runs with random faults detect injected bugs.
 func TestSetModelFindsInjectedBugs(t *testing.T) {
 	injected := []struct {
 		name   string
 		copies int
 		bugs   modelBugs
-		broken string // what it breaks
+		broken string // part of the failure that shows the bug
 	}{
 		{"a lost disk isn't noticed", 2, modelBugs{keepsIncarnation: true}, modelDataLost},
 		{"records count as durable when written", 2, modelBugs{earlyDurable: true}, modelDataLost},
@@ -399,7 +403,7 @@
 					return
 				}
 			}
-			t.Fatal("not found in 5000 runs")
+			t.Fatal("bug not found in 5000 runs")
 		})
 	}
 }
--- a/internal/batch/replica/norace_test.go
+++ b/internal/batch/replica/norace_test.go
@@ -2,7 +2,7 @@
 
 package replica
 
-// defaultSeeds is the number of random campaigns, defaultSeedsPerFault that of simulations with each kind of
+// defaultSeeds is the number of random campaigns, and defaultSeedsPerFault the number of simulations with each kind of
 // fault.
 const (
 	defaultSeeds         = 200
--- a/internal/batch/replica/pastview_test.go
+++ b/internal/batch/replica/pastview_test.go
@@ -10,19 +10,19 @@
 	"sprucelane.example/sprucelane/internal/protocol"
 )
 
-// What a view of the past may do to a store that has just started, when a control process that lags behind
-// hands it out.
+// This file tests the effect of an earlier view on a store that has just started. A control process that lags behind
+// may send such a view.
 
-// viewHistory is a cluster of three copies whose set has changed a few times, and that has lost power
-// everywhere and two disks for good.
+// viewHistory is a cluster with three copies of each batch job. Its set of stores has changed several times, and then
+// all stores lost power, two of them their disks.
 type viewHistory struct {
 	*cluster
 	views []protocol.StoreView // by epoch, from 1 on
 	jobs  []string
 }
 
-// newViewHistory retires a store and has one come back with an empty disk, each reconciled before the next,
-// then submits batch jobs; last, the first two stores lose their disks and all others lose power.
+// newViewHistory removes a store, then another one, which returns with an empty disk; all stores reconcile after each
+// change. Then it submits batch jobs. Finally the first two stores lose their disks, and all others lose power.
 func newViewHistory(seed uint64) *viewHistory {
 	h := &viewHistory{cluster: newCluster(9, 3, seed)}
 	h.noteView()
@@ -50,12 +50,12 @@
 	return h
 }
 
-// noteView remembers the newest view.
+// noteView records the newest view.
 func (h *viewHistory) noteView() {
 	h.views = append(h.views, h.nodes[0].machine.CurrentView())
 }
 
-// changeMembers makes a set of stores the newest view, in which all reconcile.
+// changeMembers makes a set of stores the newest view, and waits until all of them have reconciled.
 func (h *viewHistory) changeMembers(members ...*clusterNode) {
 	h.installView(members...)
 	h.quiesce()
@@ -65,13 +65,13 @@
 	}
 }
 
-// installOldView hands a store a view that was in force once.
+// installOldView sends a store the view of an epoch of the history.
 func (h *viewHistory) installOldView(n *clusterNode, epoch uint64) {
 	n.machine.InstallView(h.views[epoch-1])
 }
 
-// rejoinAll installs the newest view at all stores that ran before, and then one with the empty disks, too,
-// at all.
+// rejoinAll installs the newest view at all stores that kept their disks, and then a view that includes those with
+// empty disks at all stores.
 func (h *viewHistory) rejoinAll() {
 	for _, n := range h.nodes[2:8] {
 		h.installOldView(n, h.epoch)
@@ -81,7 +81,7 @@
 	h.quiesce()
 }
 
-// check checks that all batch jobs are there and all stores have reconciled.
+// check checks that all stores have reconciled and all batch jobs can be read.
 func (h *viewHistory) check() {
 	for _, n := range h.nodes[:8] {
 		So(n.machine.Status(), ShouldResemble, Status{Epoch: h.epoch, ReconciledEpoch: h.epoch})
@@ -92,15 +92,15 @@
 	}
 }
 
-// TestPastViewIsIgnored hands stores that lost power a view that ended before they did.
+// TestPastViewIsIgnored sends stores that lost power a view that had ended before the loss.
 func TestPastViewIsIgnored(t *testing.T) {
-	Convey("All batch jobs are there after a loss of power with two disks", t, func() {
+	Convey("All batch jobs can be read after a loss of power and of two disks", t, func() {
 		h := newViewHistory(1)
 		h.rejoinAll()
 		h.check()
 	})
 	for ended := uint64(1); ended <= 3; ended++ {
-		Convey(fmt.Sprintf("So they are if stores get the view of epoch %d first, which ended long ago", ended), t, func() {
+		Convey(fmt.Sprintf("Also if stores first get the view of epoch %d, which has ended", ended), t, func() {
 			for _, stores := range [][]int{{3}, {2, 3, 4}, {2, 3, 4, 5, 6, 7}} {
 				h := newViewHistory(1)
 				for _, number := range stores {
@@ -112,7 +112,7 @@
 			}
 		})
 	}
-	Convey("Nor does a store act in it, nor forget which one it acted in", t, func() {
+	Convey("A store doesn't act in an ended view, and doesn't forget in which view it acted", t, func() {
 		h := newViewHistory(1)
 		n := h.nodes[3]
 		h.installOldView(n, 3)
@@ -125,10 +125,10 @@
 	})
 }
 
-// TestGrantOfALaterView grants a lease to a store that was out of the set before it hears of the view that it
-// is in again.
+// TestGrantOfALaterView grants a lease to a store that was out of the set, before the store receives the view in
+// which it is a member again.
 func TestGrantOfALaterView(t *testing.T) {
-	Convey("A lease of a later view than the one known here gives no right to act", t, func() {
+	Convey("A lease for a later view than the one known here doesn't allow a store to act", t, func() {
 		c := newCluster(3, 2, 1)
 		So(c.nodes[0].submit("job", 1).Status, ShouldEqual, 202)
 		owner := c.owner("job")
@@ -137,12 +137,12 @@
 		c.drops = func(m clusterMessage) bool { return m.to == owner.key() || m.from.Node == owner.process().Node }
 		c.installView(rest...)
 		c.quiesce()
-		now := rest[0]
-		if !now.machine.jobs["job"].owned {
-			now = rest[1]
+		newOwner := rest[0]
+		if !newOwner.machine.jobs["job"].owned {
+			newOwner = rest[1]
 		}
 		end := protocol.BatchCall{Operation: protocol.BatchEnd, BatchJob: "job", Tenant: "t"}
-		So(now.call(end, nil).Status, ShouldEqual, 200)
+		So(newOwner.call(end, nil).Status, ShouldEqual, 200)
 		owner.machine.GrantLease(c.epoch+1, true, c.now+time.Second)
 		So(owner.machine.MayAct(), ShouldBeFalse)
 		So(owner.machine.MayRun("job", 0), ShouldBeFalse)
--- a/internal/batch/replica/progress_test.go
+++ b/internal/batch/replica/progress_test.go
@@ -10,7 +10,7 @@
 )
 
 func TestProgress(t *testing.T) {
-	Convey("Events of running items are there after a start, only in an unbroken row, and not of listed items", t, func() {
+	Convey("Events of unfinished items are restored at a start, up to the first gap", t, func() {
 		sim := newStoreSimulation(1, 1, 1, "")
 		sim.runUntil(2e9)
 		s := sim.stores[0]
@@ -54,7 +54,7 @@
 		So(work.Items[1].Last, ShouldEqual, 1)
 		So(text(work.Items[1]), ShouldEqual, "again ")
 	})
-	Convey("A single store, where none may be lost, accepts by itself", t, func() {
+	Convey("A single store accepts batch jobs by itself if no disk loss has to be tolerated", t, func() {
 		sim := newStoreSimulation(2, 1, 1, "")
 		sim.runUntil(2e9)
 		j := sim.clients.submit("job", 3)
@@ -65,7 +65,7 @@
 	})
 }
 
-// TestProgressRecord holds the record of an item's events to the stored format.
+// TestProgressRecord compares the encoding of an item's events with the stored format.
 func TestProgressRecord(t *testing.T) {
 	want := append(job.AppendString([]byte{recordProgress}, "job"), 2, 1, 6, 1, 1, 'x') // item, after, last, events
 	if got := encodeProgress("job", 2, -1, 3, [][]byte{{'x'}}); !bytes.Equal(got, want) {
--- a/internal/batch/replica/race_test.go
+++ b/internal/batch/replica/race_test.go
@@ -2,8 +2,9 @@
 
 package replica
 
-// defaultSeeds is the number of random campaigns, defaultSeedsPerFault that of simulations with each kind of
-// fault. The race detector slows them down several times, and each runs in one goroutine.
+// defaultSeeds is the number of random campaigns, and defaultSeedsPerFault the number of simulations with each kind of
+// fault. Both are lower than without the race detector, because it slows simulations down several times, and each runs
+// in one goroutine.
 const (
 	defaultSeeds         = 30
 	defaultSeedsPerFault = 3
--- a/internal/batch/replica/random_test.go
+++ b/internal/batch/replica/random_test.go
@@ -10,9 +10,9 @@
 	"sprucelane.example/sprucelane/internal/protocol"
 )
 
-// Simulations with random faults.
+// This file contains tests that run campaigns with random faults.
 
-// intFromEnvironment returns the integer value of an environment variable, or a default.
+// intFromEnvironment returns the integer value of an environment variable, or value if there is none.
 func intFromEnvironment(name string, value int) int {
 	if number, err := strconv.Atoi(os.Getenv(name)); err == nil {
 		return number
@@ -20,8 +20,8 @@
 	return value
 }
 
-// TestRandomSimulations runs campaigns with fixed seeds; SEEDS=N runs N of them, FIRST=S starts at seed S,
-// TRACE=1 prints what happens.
+// TestRandomSimulations runs campaigns with fixed seeds. SEEDS=N runs N campaigns, FIRST=S starts at seed S, TRACE=1
+// prints their events.
 func TestRandomSimulations(t *testing.T) {
 	first, count := intFromEnvironment("FIRST", 0), intFromEnvironment("SEEDS", defaultSeeds)
 	const shards = 3
@@ -47,13 +47,13 @@
 		count, first, accepted.Load(), read.Load(), faults.Load())
 }
 
-// TestReplaysExactly runs campaigns twice, and compares their traces.
+// TestReplaysExactly runs campaigns twice and compares their traces, which must not differ for the same seed.
 func TestReplaysExactly(t *testing.T) {
 	for seed := uint64(1); seed < 9; seed++ {
 		first, _ := runSeed(seed, "")
 		second, _ := runSeed(seed, "")
 		if first.traceHash != second.traceHash {
-			t.Errorf("seed %d played in two ways", seed)
+			t.Errorf("two runs of seed %d have different traces", seed)
 		}
 	}
 }
@@ -65,8 +65,8 @@
 	}
 }
 
-// TestSeedsThatExceededTokenLimit runs seeds in which more tokens were accepted than allowed, or granted
-// capacity was never released.
+// TestSeedsThatExceededTokenLimit runs seeds in which once more tokens were accepted than allowed, or granted capacity
+// was never released.
 func TestSeedsThatExceededTokenLimit(t *testing.T) {
 	for _, seed := range []uint64{5596, 5632, 5794, 6076, 6094} {
 		if _, err := runSeed(seed, ""); err != nil {
--- a/internal/batch/replica/recovery_test.go
+++ b/internal/batch/replica/recovery_test.go
@@ -13,12 +13,12 @@
 	"sprucelane.example/sprucelane/internal/protocol"
 )
 
-// How a start deals with records that can't be used, and what becomes of corrupt copies.
+// This file tests the replay of records that can't be used, and the replacement of corrupt copies.
 
-// TestKilledThenPowerLost repeats how logs came to contradict themselves: results that were written and not
-// synced by a process that was killed, results behind them that were, and then a loss of power.
+// TestKilledThenPowerLost guards against logs with gaps, which came about as follows: a process wrote results without
+// syncing them and was killed, the next one synced further results behind them, and then power was lost.
 func TestKilledThenPowerLost(t *testing.T) {
-	Convey("What a start found and reported as durable is there after a loss of power", t, func() {
+	Convey("Records that a start found and reported as durable survive a loss of power", t, func() {
 		for seed := range uint64(20) {
 			c := newCluster(1, 1, seed)
 			n := c.nodes[0]
@@ -26,7 +26,7 @@
 			n.finish("job", 0, 1, 2)
 			c.quiesce()
 			n.finish("job", 3, 4)
-			_, err := n.log.Step() // written, and not synced
+			_, err := n.log.Step() // written, but not synced
 			So(err, ShouldBeNil)
 			n.kill()
 			n.start()
@@ -53,14 +53,14 @@
 	n.start()
 }
 
-// resultAfterGap encodes a result at a position that others before it may be missing for.
+// resultAfterGap encodes a result at a position before which other results may be missing.
 func resultAfterGap(id string, position, item int) []byte {
 	return encodeResult(id, position, &Result{Item: item, State: byte(job.Completed), Text: []byte("lost")})
 }
 
-// TestFindings has a start find records that can't be used.
+// TestFindings starts a store on a log with records that can't be used.
 func TestFindings(t *testing.T) {
-	Convey("An unusable record is reported with its location, and costs no more than its own batch job", t, func() {
+	Convey("An unusable record is reported with its location, and affects only its own batch job", t, func() {
 		c := newCluster(1, 1, 1)
 		n := c.nodes[0]
 		for _, id := range []string{"sound", "job"} {
@@ -72,9 +72,9 @@
 		replicas := encodeReplicas("job", j.version, j.replicas)
 		garbled := encodeCopy("job", j.version+1, j.replicas, false, []byte("?"), nil)
 		for _, test := range []struct {
-			problem Problem
-			record  []byte
-			obscure bool
+			problem    Problem
+			record     []byte
+			incomplete bool
 		}{
 			{ProblemGap, resultAfterGap("job", 3, 3), false},
 			{ProblemResult, resultAfterGap("job", 2, 9), false},
@@ -85,7 +85,7 @@
 			{ProblemContent, garbled, true},
 			{ProblemKind, job.AppendString([]byte{200}, "job"), true},
 		} {
-			n.injectRecords(test.record, resultAfterGap("job", 2, 3)) // the second may continue a copy that isn't here
+			n.injectRecords(test.record, resultAfterGap("job", 2, 3)) // the second record may continue a copy that is missing
 			So(n.findings, ShouldHaveLength, 1)
 			finding := n.findings[0]
 			So(finding.Problem, ShouldEqual, test.problem)
@@ -93,7 +93,7 @@
 			So(finding.At.Segment, ShouldBeGreaterThan, uint32(0))
 			So(errors.Is(finding, job.ErrCorrupt), ShouldBeTrue)
 			So(finding.Error(), ShouldContainSubstring, "job")
-			So(n.machine.incompleteLog, ShouldEqual, test.obscure)
+			So(n.machine.incompleteLog, ShouldEqual, test.incomplete)
 			So(n.machine.jobs["job"].corrupt, ShouldBeTrue)
 			So(n.machine.jobs["sound"].corrupt, ShouldBeFalse)
 			c.installView(n)
@@ -105,7 +105,7 @@
 			}
 			n.kill()
 			n.start()
-			So(n.machine.jobs["job"].corrupt, ShouldBeFalse) // a new copy of the sound part follows it
+			So(n.machine.jobs["job"].corrupt, ShouldBeFalse) // a new copy of the sound part follows the unusable record
 			So(n.findings, ShouldHaveLength, 1)
 			n.disk.Wipe()
 			n.start()
@@ -117,7 +117,7 @@
 			c.quiesce()
 		}
 	})
-	Convey("Records of the store itself are reported, too", t, func() {
+	Convey("Unusable records that don't belong to a batch job are reported as well", t, func() {
 		c := newCluster(1, 1, 1)
 		n := c.nodes[0]
 		view := n.machine.departures.encode()
@@ -132,7 +132,7 @@
 	})
 }
 
-// TestReplayNeverPanics replays altered records.
+// TestReplayNeverPanics replays randomly altered records.
 func TestReplayNeverPanics(t *testing.T) {
 	c := newCluster(1, 1, 1)
 	n := c.nodes[0]
@@ -169,8 +169,8 @@
 	}
 }
 
-// TestCorruptOwner corrupts the owner's copy: the batch job goes to the store that holds a sound one, and the
-// former owner gets it.
+// TestCorruptOwner corrupts the owner's copy. The store with a sound copy must become the owner, and replace the former
+// owner's copy.
 func TestCorruptOwner(t *testing.T) {
 	for _, test := range []struct {
 		name   string
@@ -182,7 +182,7 @@
 			return encodeCopy("job", j.version+1, j.replicas, false, []byte("?"), nil)
 		}},
 	} {
-		Convey("The better copy is owned, and the corrupt one replaced, after "+test.name, t, func() {
+		Convey("The store with the better copy becomes the owner and replaces the corrupt one, after "+test.name, t, func() {
 			for _, restart := range []string{"at once", "after it was taken out", "all at the same time"} {
 				c := newCluster(3, 2, 1)
 				So(c.nodes[0].submit("job", 6).Status, ShouldEqual, 202)
@@ -254,8 +254,8 @@
 	return n.read(id)
 }
 
-// TestCorruptReplica corrupts a copy that its owner had counted on: the owner takes back that it has
-// reconciled until it has replaced the copy, also if nobody left the view.
+// TestCorruptReplica corrupts a replica's copy that the owner counts as durable. The owner must not count as reconciled
+// again until it has replaced the copy, also if no store left the view.
 func TestCorruptReplica(t *testing.T) {
 	for _, record := range [][]byte{encodeDropped("job"), resultAfterGap("job", 5, 5)} {
 		name := fmt.Sprintf("A corrupt replica is replaced before more results are committed: kind %d", record[0])
@@ -288,8 +288,8 @@
 	}
 }
 
-// TestOnlyCorruptCopies leaves corrupt copies only: the longest sound prefix is served, and nothing is said
-// not to exist.
+// TestOnlyCorruptCopies corrupts all copies. The longest sound prefix must be served, and no batch job that may be lost
+// may be answered 404.
 func TestOnlyCorruptCopies(t *testing.T) {
 	Convey("The longest sound prefix is served if no sound copy is left", t, func() {
 		c := newCluster(2, 2, 1)
@@ -313,7 +313,7 @@
 		c.quiesce()
 		So(owner.machine.jobs["job"].durableResults, ShouldEqual, 4)
 	})
-	Convey("A batch job that may be lost with an incomplete log and a disk is refused for now, not denied", t, func() {
+	Convey("A batch job that may be lost with an incomplete log and a disk is answered 503, not 404", t, func() {
 		c := newCluster(2, 2, 1)
 		So(c.nodes[0].submit("job", 4).Status, ShouldEqual, 202)
 		_, status := c.nodes[0].read("no-such-job")
@@ -331,7 +331,7 @@
 	})
 }
 
-// TestCorruptStoreRetires retires a store whose only copy is corrupt: it hands over what is sound.
+// TestCorruptStoreRetires retires a store that has the only copy of a batch job, which is corrupt.
 func TestCorruptStoreRetires(t *testing.T) {
 	Convey("A retiring store hands over the sound part of a corrupt copy", t, func() {
 		c := newCluster(3, 2, 1)
@@ -354,7 +354,7 @@
 	})
 }
 
-// TestSegmentsKept checks which segments may be released while what replaces their records isn't durable.
+// TestSegmentsKept checks that segments are kept while the records that replace theirs aren't durable.
 func TestSegmentsKept(t *testing.T) {
 	Convey("A copy's segment is kept until the copy that replaces it is durable", t, func() {
 		c := newCluster(2, 2, 1)
@@ -365,13 +365,13 @@
 		content, err := replica.Read(j.contentAt)
 		So(err, ShouldBeNil)
 		fillSegment(replica)
-		replica.machine.writeViewRecord() // so that only the copy is in the way
+		replica.machine.writeViewRecord() // so that only the copy needs the segment
 		replica.sync()
 		owner := c.owner("job").process()
 		message := ReplicationRequest{
 			Stamp: replica.machine.stamp(), Job: "job", Version: j.version + 1, Replicas: j.replicas, Content: content,
 		}
-		for range 2 { // a further one, too
+		for range 2 { // the second copy replaces one that isn't durable yet
 			replica.machine.Receive(owner, message)
 			message.Version++
 			So(replica.machine.jobs["job"].contentAt.Segment, ShouldBeGreaterThan, before)
@@ -380,7 +380,7 @@
 		replica.sync()
 		So(replica.machine.OldestSegment(100), ShouldBeGreaterThan, before)
 	})
-	Convey("The epoch acted in is written again before its segment goes", t, func() {
+	Convey("The view record is written again before its segment is released", t, func() {
 		c := newCluster(2, 2, 1)
 		n := c.nodes[0]
 		c.quiesce()
@@ -388,7 +388,7 @@
 		acted, since := n.machine.ActedIn(), n.machine.departures.memberSince
 		So(acted, ShouldEqual, c.epoch)
 		fillSegment(n)
-		So(n.machine.OldestSegment(100), ShouldEqual, before) // still needed, for now
+		So(n.machine.OldestSegment(100), ShouldEqual, before) // needed until the new view record is durable
 		n.sync()
 		oldest := n.machine.OldestSegment(100)
 		So(oldest, ShouldBeGreaterThan, before)
@@ -402,15 +402,15 @@
 	})
 }
 
-// fillSegment has the next record of a node go to a new segment.
+// fillSegment fills a node's current segment, so that its next record goes to a new one.
 func fillSegment(n *clusterNode) {
 	n.log.Append(append(encodeDropped("nothing"), make([]byte, 4<<10)...))
 	n.sync()
 }
 
-// TestSkippedPart corrupts a part of the log in which a newer copy may have been.
+// TestSkippedPart corrupts a part of the log which may have contained a newer copy.
 func TestSkippedPart(t *testing.T) {
-	Convey("What is before an unreadable part counts as corrupt, and results behind it are ignored", t, func() {
+	Convey("Copies before an unreadable part count as corrupt, and their results behind it are ignored", t, func() {
 		c := newCluster(2, 2, 1)
 		for _, id := range []string{"before", "across"} {
 			So(c.nodes[0].submit(id, 4).Status, ShouldEqual, 202)
@@ -441,7 +441,7 @@
 			So(texts, ShouldResemble, []string{"0", "1", "2"})
 		}
 		So(owner.machine.jobs["across"].durableResults, ShouldEqual, 3)
-		So(owner.machine.incompleteLog, ShouldBeFalse) // all have reconciled again
+		So(owner.machine.incompleteLog, ShouldBeFalse) // all stores have reconciled again
 		_, status := owner.read("no-such-job")
 		So(status, ShouldEqual, 404)
 		findings, corruptJobs = owner.machine.Corruption()
@@ -461,10 +461,10 @@
 	})
 }
 
-// TestCorruptionInNewestSegment corrupts what an owner synced before later records of the segment that it was
-// writing.
+// TestCorruptionInNewestSegment corrupts a synced record of an owner in the segment that it was writing, before later
+// records.
 func TestCorruptionInNewestSegment(t *testing.T) {
-	Convey("What was shown comes back from the other copy, and isn't listed anew", t, func() {
+	Convey("Results that were shown are restored from the other copy, and not listed anew", t, func() {
 		c := newCluster(2, 2, 1)
 		So(c.nodes[0].submit("job", 4).Status, ShouldEqual, 202)
 		owner := c.owner("job")
@@ -492,7 +492,7 @@
 	})
 }
 
-// TestOwnershipTransferIsResent loses the message that transfers a batch job to a better copy.
+// TestOwnershipTransferIsResent loses the messages that transfer a batch job to a store with a better copy.
 func TestOwnershipTransferIsResent(t *testing.T) {
 	Convey("An ownership transfer is resent until the batch job is fully replicated at the other store", t, func() {
 		c := newCluster(2, 2, 1)
@@ -503,32 +503,32 @@
 		owner.injectRecords(resultAfterGap("job", 3, 3))
 		lost := 0
 		c.drops = func(m clusterMessage) bool {
-			_, concede := m.body.(OwnershipTransfer)
-			if concede {
+			_, isTransfer := m.body.(OwnershipTransfer)
+			if isTransfer {
 				lost++
 			}
-			return concede && lost <= 2
+			return isTransfer && lost <= 2
 		}
 		c.rejoin(owner)
 		c.quiesce()
-		So(lost, ShouldEqual, 4) // the third arrives, the next asks whether the batch job is fully replicated
+		So(lost, ShouldEqual, 4) // two are lost, the third arrives, and the fourth asks whether it is fully replicated
 		So(c.owner("job") == replica, ShouldBeTrue)
 		So(owner.machine.transfers, ShouldBeEmpty)
 		So(owner.machine.jobs["job"].durableResults, ShouldEqual, 1)
 	})
 }
 
-// TestOwnershipTransferRejected has the better copy expire before the batch job is transferred to it.
+// TestOwnershipTransferRejected drops the better copy before the batch job is transferred to its store.
 func TestOwnershipTransferRejected(t *testing.T) {
-	Convey("A store that transfers a batch job that was dropped matches inventories anew, and reconciles", t, func() {
+	Convey("A store that transfers a batch job that was dropped requests inventories again, and reconciles", t, func() {
 		c := newCluster(2, 2, 1)
 		So(c.nodes[0].submit("job", 6).Status, ShouldEqual, 202)
 		owner, replica := c.owner("job"), c.replicaOf("job")
 		c.quiesce()
 		owner.injectRecords(encodeDropped("job"))
 		c.drops = func(m clusterMessage) bool {
-			_, concede := m.body.(OwnershipTransfer)
-			return concede
+			_, isTransfer := m.body.(OwnershipTransfer)
+			return isTransfer
 		}
 		c.rejoin(owner)
 		c.quiesce()
--- a/internal/batch/replica/replication.go
+++ b/internal/batch/replica/replication.go
@@ -139,7 +139,7 @@
 	}
 	p := j.peer(from)
 	if p == nil {
-		j.replaced = slices.DeleteFunc(j.replaced, func(process protocol.Process) bool { return placement.KeyOf(process) == from })
+		j.replaced = slices.DeleteFunc(j.replaced, func(one protocol.Process) bool { return placement.KeyOf(one) == from })
 		return
 	}
 	p.reported, p.awaitsResponse = true, false
--- a/internal/batch/replica/restart_test.go
+++ b/internal/batch/replica/restart_test.go
@@ -12,9 +12,10 @@
 	"sprucelane.example/sprucelane/internal/protocol"
 )
 
-// Processes that restart while a set isn't fully replicated yet, followed by as many lost disks as may be.
+// This file tests processes that restart while a set isn't fully replicated yet, followed by the loss of as many disks
+// as may be lost.
 
-// dropReplication loses what a node sends to bring others up to its state.
+// dropReplication drops the ReplicationRequests of a node.
 func (c *cluster) dropReplication(n *clusterNode) {
 	c.drops = func(m clusterMessage) bool {
 		_, replicates := m.body.(ReplicationRequest)
@@ -24,7 +25,7 @@
 
 // TestRestartWhileHandingOver restarts a retiring store before its successor's set is fully replicated.
 func TestRestartWhileHandingOver(t *testing.T) {
-	Convey("A store that hands over keeps its copy until the new set is fully replicated, also if it restarts", t, func() {
+	Convey("A store that hands over keeps its copy until the new set is fully replicated, even if it restarts", t, func() {
 		c := newCluster(4, 2, 1)
 		So(c.nodes[0].submit("job", 2).Status, ShouldEqual, 202)
 		leaving, successor := c.owner("job"), c.replicaOf("job")
@@ -51,13 +52,13 @@
 	})
 }
 
-// TestRestartOfAnOwner restarts an owner, which chooses its set anew, after all have reconciled.
+// TestRestartOfAnOwner restarts an owner, which then chooses a new replica set, after all stores have reconciled.
 func TestRestartOfAnOwner(t *testing.T) {
 	Convey("The ReconciledNotices of an earlier incarnation don't count", t, func() {
 		c := newCluster(4, 3, 1)
 		So(c.nodes[0].submit("job", 2).Status, ShouldEqual, 202)
 		owner := c.owner("job")
-		owner.state = protocol.StoreRetiring // and stays in the sets, as too few others are left
+		owner.state = protocol.StoreRetiring // it stays in the replica sets, as too few other stores remain
 		first := c.except(owner)[0]
 		first.wipe()
 		rest := c.except(first)
@@ -89,30 +90,30 @@
 	})
 }
 
-// TestIncompleteLogWhileOwnerAway has one of two copies on a store that is away, and the other in a log that
-// can't name it any more.
+// TestIncompleteLogWhileOwnerAway has one of two copies of a batch job on a store that is absent, and the other in a
+// log that can't name it any more.
 func TestIncompleteLogWhileOwnerAway(t *testing.T) {
-	Convey("No store denies it while the stores that may hold it are away or have incomplete logs", t, func() {
+	Convey("No store answers 404 while the stores that may hold it are absent or have incomplete logs", t, func() {
 		for _, noticesLost := range []bool{false, true} {
 			c := newCluster(4, 2, 1)
 			So(c.nodes[0].submit("job", 2).Status, ShouldEqual, 202)
-			off, obscured := c.owner("job"), c.replicaOf("job")
-			off.kill()
-			obscured.kill()
-			obscured.disk.Wipe()
-			obscured.start()
-			obscured.injectRecords(job.AppendString([]byte{200}, "?"))
-			So(obscured.machine.incompleteLog, ShouldBeTrue)
+			absent, incomplete := c.owner("job"), c.replicaOf("job")
+			absent.kill()
+			incomplete.kill()
+			incomplete.disk.Wipe()
+			incomplete.start()
+			incomplete.injectRecords(job.AppendString([]byte{200}, "?"))
+			So(incomplete.machine.incompleteLog, ShouldBeTrue)
 			c.drops = func(m clusterMessage) bool {
 				_, notice := m.body.(ReconciledNotice)
 				return notice && noticesLost
 			}
-			c.installView(c.except(off)...)
+			c.installView(c.except(absent)...)
 			c.quiesce()
-			asked := c.except(off, obscured)[0]
+			asked := c.except(absent, incomplete)[0]
 			_, status := asked.readAnywhere("job")
 			So(status, ShouldEqual, 503)
-			off.start()
+			absent.start()
 			c.drops = nil
 			c.installView(c.nodes...)
 			c.quiesce()
@@ -122,10 +123,10 @@
 	})
 }
 
-// TestReportsOfDifferentMoments has control get a report of a successor from before it took over the batch
-// job, and of the store that handed it over from after its restart.
+// TestReportsOfDifferentMoments sends control a successor's report from before it took over the batch job, and the
+// report of the store that handed the batch job over from after that store's restart.
 func TestReportsOfDifferentMoments(t *testing.T) {
-	Convey("All have reconciled only if nothing depends on what one of them has taken back since", t, func() {
+	Convey("Control doesn't conclude from an outdated report that all members have reconciled", t, func() {
 		c := newCluster(8, 3, 1)
 		So(c.nodes[0].submit("job", 2).Status, ShouldEqual, 202)
 		c.quiesce()
@@ -138,16 +139,16 @@
 			}
 		}
 		leaving := c.owner("job")
-		var off []*clusterNode // the other two copies
+		var absent []*clusterNode // the stores of the other two copies
 		for _, n := range c.nodes {
 			if n != leaving && n.machine.jobs["job"] != nil {
-				off = append(off, n)
+				absent = append(absent, n)
 				n.kill()
 			}
 		}
 		leaving.state = protocol.StoreRetiring
-		rest := c.except(off...)
-		c.drops = func(m clusterMessage) bool { // the copy comes later
+		rest := c.except(absent...)
+		c.drops = func(m clusterMessage) bool { // the copy is delivered later
 			replicate, is := m.body.(ReplicationRequest)
 			return is && replicate.Content != nil
 		}
@@ -156,8 +157,8 @@
 			c.deliverAll()
 			c.now += 100 * time.Millisecond
 		}
-		handing := leaving.machine.jobs["job"].handoverReplicas[0]
-		successor := c.nodes[slices.IndexFunc(c.nodes, func(n *clusterNode) bool { return n.process() == handing })]
+		successorProcess := leaving.machine.jobs["job"].handoverReplicas[0]
+		successor := c.nodes[slices.IndexFunc(c.nodes, func(n *clusterNode) bool { return n.process() == successorProcess })]
 		So(successor.machine.Report().Settled, ShouldEqual, c.epoch)
 		poll(rest)
 		c.dropReplication(successor)
@@ -175,7 +176,7 @@
 				n.machine.Tick()
 			}
 		}
-		poll(c.except(append(off, successor)...)) // the successor's polls don't come through
+		poll(c.except(append(absent, successor)...)) // the successor's polls are lost
 		So(leaving.machine.Report().DrainedDown, ShouldBeFalse)
 		So(table.Reconciled(c.now, c.currentView, 2), ShouldBeFalse)
 		c.drops = nil
@@ -183,7 +184,7 @@
 		So(c.currentView.Settled, ShouldBeTrue)
 		So(leaving.machine.Report().DrainedDown, ShouldBeTrue)
 	})
-	Convey("A store that transfers a batch job to a better copy waits until that is fully replicated, too", t, func() {
+	Convey("A store that transfers a batch job to a better copy also waits until it is fully replicated", t, func() {
 		c := newCluster(4, 2, 1)
 		So(c.nodes[0].submit("job", 6).Status, ShouldEqual, 202)
 		owner, replica := c.owner("job"), c.replicaOf("job")
@@ -205,8 +206,8 @@
 
 // TestOwnershipTransferPending transfers a batch job to a store with a better copy, whose disk is slow.
 func TestOwnershipTransferPending(t *testing.T) {
-	// given has the owner transfer a batch job to the replica, which doesn't get the message.
-	given := func() (owner, replica *clusterNode) {
+	// pendingTransfer returns an owner that transfers a batch job to the replica, which doesn't receive the message.
+	pendingTransfer := func() (owner, replica *clusterNode) {
 		c := newCluster(4, 2, 1)
 		So(c.nodes[0].submit("job", 6).Status, ShouldEqual, 202)
 		owner, replica = c.owner("job"), c.replicaOf("job")
@@ -214,25 +215,25 @@
 		c.quiesce()
 		owner.injectRecords(resultAfterGap("job", 3, 3))
 		c.drops = func(m clusterMessage) bool {
-			_, concede := m.body.(OwnershipTransfer)
-			return concede
+			_, isTransfer := m.body.(OwnershipTransfer)
+			return isTransfer
 		}
 		c.rejoin(owner)
 		c.quiesce()
 		So(owner.machine.transfers, ShouldHaveLength, 1)
 		return owner, replica
 	}
-	Convey("It isn't rejected if the new owner has yet to write the version that it chose", t, func() {
-		owner, replica := given()
+	Convey("The transfer isn't rejected if the new owner has yet to write the version that it chose", t, func() {
+		owner, replica := pendingTransfer()
 		version := owner.machine.transfers["job"].version
 		owner.machine.handleReplicationResponse(replica.key(), ReplicationResponse{Job: "job", Version: version + 1})
 		So(owner.machine.transfers, ShouldHaveLength, 1)
 		So(owner.machine.Report().Settled, ShouldBeLessThan, owner.machine.Epoch())
 		owner.machine.handleReplicationResponse(replica.key(), ReplicationResponse{Job: "job", Version: version})
-		So(owner.machine.reconciled, ShouldBeFalse) // it matches inventories anew
+		So(owner.machine.reconciled, ShouldBeFalse) // it requests inventories again
 	})
-	Convey("It ends if the batch job falls to this store again", t, func() {
-		owner, _ := given()
+	Convey("The transfer ends if this store becomes the owner of the batch job", t, func() {
+		owner, _ := pendingTransfer()
 		j := owner.machine.jobs["job"]
 		j.corrupt = false
 		owner.machine.takeOwnership(j)
--- a/internal/batch/replica/retention_test.go
+++ b/internal/batch/replica/retention_test.go
@@ -12,32 +12,32 @@
 // clusterRetention is Options.Retention in a cluster.
 const clusterRetention = time.Hour
 
-// replaceReplica submits a batch job whose first replica writes its copy and is not heard, so that it is replaced
-// within the epoch. Notices to it are dropped while unnotified is set.
+// replaceReplica submits a batch job whose first replica writes its copy, while its confirmations are lost, so that
+// it is replaced within the epoch. While unnotified is set, the notices that inform it are dropped.
 func replaceReplica(c *cluster, unnotified *bool) (owner, replaced *clusterNode) {
-	var silent placement.Key
+	var unconfirmed placement.Key
 	c.drops = func(m clusterMessage) bool {
 		switch body := m.body.(type) {
 		case ReplicationResponse:
-			if silent == "" {
-				silent = placement.KeyOf(m.from)
+			if unconfirmed == "" {
+				unconfirmed = placement.KeyOf(m.from)
 			}
-			return placement.KeyOf(m.from) == silent && body.Held
+			return placement.KeyOf(m.from) == unconfirmed && body.Held
 		case ReplicationRequest:
-			return *unnotified && m.to == silent && body.Content == nil
+			return *unnotified && m.to == unconfirmed && body.Content == nil
 		}
 		return false
 	}
 	So(c.nodes[0].submit("job", 1).Status, ShouldEqual, 202)
 	for _, n := range c.nodes {
-		if n.key() == silent {
+		if n.key() == unconfirmed {
 			replaced = n
 		}
 	}
 	return c.owner("job"), replaced
 }
 
-// TestReplacedWithinEpoch replaces a replica that then turns out to have a copy.
+// TestReplacedWithinEpoch replaces a replica that has a copy without the owner's knowledge.
 func TestReplacedWithinEpoch(t *testing.T) {
 	Convey("A replica that was replaced within an epoch", t, func() {
 		c := newCluster(4, 2, 1)
@@ -54,7 +54,7 @@
 			So(replaced.machine.jobs["job"], ShouldBeNil)
 			So(owner.machine.jobs["job"].replaced, ShouldBeEmpty)
 		})
-		Convey("is waited for before the closed batch job is forgotten", func() {
+		Convey("must drop its copy before the owner drops the closed batch job", func() {
 			owner.finish("job", 0)
 			c.now += clusterRetention
 			c.quiesce()
@@ -64,34 +64,35 @@
 			So(replaced.machine.jobs["job"], ShouldBeNil)
 			So(owner.machine.jobs["job"], ShouldBeNil)
 		})
-		Convey("isn't waited for without end", func() {
+		Convey("delays the owner only for a limited time", func() {
 			owner.finish("job", 0)
 			c.now += unansweredFactor * clusterRetention
 			c.quiesce()
 			So(owner.machine.jobs["job"], ShouldBeNil)
 		})
-		Convey("isn't waited for once it has left the view", func() {
+		Convey("doesn't delay the owner once it has left the view", func() {
 			owner.finish("job", 0)
 			replaced.kill()
 			c.installView(c.except(replaced)...)
 			c.now += clusterRetention
 			c.quiesce()
 			So(c.owner("job"), ShouldBeNil)
-			c.now += expiredQueryInterval // of the other replica, which asks the owner
+			c.now += expiredQueryInterval // the other replica asks the owner about its copy
 			c.quiesce()
 			So(owner.machine.jobs["job"], ShouldBeNil)
 		})
 	})
 }
 
-// TestEndOutlivesItems keeps the end of a batch job for as long as a store that was away could run its items.
+// TestEndOutlivesItems checks that the end of a batch job is kept for as long as a store that was absent could run its
+// items.
 func TestEndOutlivesItems(t *testing.T) {
 	Convey("A closed batch job is kept until no store starts its items any more", t, func() {
 		c := newCluster(3, 2, 1)
 		c.itemLifetime = 3 * clusterRetention
 		So(c.nodes[0].submit("job", 2).Status, ShouldEqual, 202)
 		owner, replica := c.owner("job"), c.replicaOf("job")
-		replica.kill() // with a copy that doesn't know of the end
+		replica.kill() // its copy lacks the end
 		c.installView(c.except(replica)...)
 		c.quiesce()
 		owner.finish("job", 0)
@@ -102,12 +103,12 @@
 		replica.start()
 		c.installView(c.nodes...)
 		c.quiesce()
-		So(replica.machine.jobs["job"], ShouldBeNil) // it was superseded
+		So(replica.machine.jobs["job"], ShouldBeNil) // its copy was superseded
 		c.now += clusterRetention
 		c.quiesce()
 		So(owner.machine.jobs["job"], ShouldBeNil)
 	})
-	Convey("The replicas of an open batch job are kept for as long as it may run", t, func() {
+	Convey("The replicas of an open batch job are kept for as long as its items may run", t, func() {
 		c := newCluster(3, 2, 1)
 		for _, lifetime := range []time.Duration{0, 10 * clusterRetention} {
 			c.itemLifetime = lifetime
--- a/internal/batch/replica/simulatedclients_test.go
+++ b/internal/batch/replica/simulatedclients_test.go
@@ -10,7 +10,7 @@
 	"sprucelane.example/sprucelane/internal/protocol"
 )
 
-// Clients of a simulation, which submit, read and end batch jobs, and check each answer.
+// This file contains the clients of a simulation, which submit, read and end batch jobs, and check each answer.
 
 const (
 	callTimeout = 3500 * time.Millisecond
@@ -23,18 +23,18 @@
 	sim      *storeSimulation
 	jobs     map[string]*clientJob
 	order    []*clientJob
-	accepted int // batch jobs
-	read     int // positions
-	quiet    bool
+	accepted int // number of accepted batch jobs
+	read     int // number of positions that were read
+	stopped  bool
 	onAccept func()
 }
 
-// clientJob is what the clients know of a batch job.
+// clientJob is the clients' knowledge of a batch job.
 type clientJob struct {
 	id             string
 	body           []byte
 	items          []job.Item
-	index          map[string]int // of items by id
+	index          map[string]int // indexes of items by id
 	firstSubmitted time.Duration
 	attempts       int
 	rejections     int // attempts answered with 503
@@ -50,7 +50,7 @@
 	ended          bool
 }
 
-// expired reports whether a batch job may be forgotten.
+// expired reports whether the stores may have dropped a batch job.
 func (c *clients) expired(j *clientJob) bool { return c.sim.now >= j.firstSubmitted+c.sim.retention }
 
 // allRead reports whether the results of all items were read.
@@ -64,7 +64,7 @@
 	Tokens int    `json:"tokens"`
 }
 
-// encodeSubmission returns the body of a submission, and the items that it is parsed to.
+// encodeSubmission returns the body of a submission, and the items that result from parsing it.
 func encodeSubmission(requests []submittedRequest) (body []byte, items []job.Item) {
 	body, err := json.Marshal(map[string]any{"requests": requests})
 	if err != nil {
@@ -77,7 +77,7 @@
 	return body, items
 }
 
-// submit submits a new batch job with a number of items.
+// submit submits a new batch job with count items.
 func (c *clients) submit(id string, count int) *clientJob {
 	j := &clientJob{
 		id: id, firstSubmitted: c.sim.now,
@@ -99,12 +99,12 @@
 	return j
 }
 
-// givenUp reports whether some store may have given up items of a batch job, by its clock.
+// givenUp reports whether a store may have given up items of a batch job, by the store's clock.
 func (c *clients) givenUp(j *clientJob) bool {
 	return c.sim.now >= j.firstSubmitted+c.sim.itemLifetime
 }
 
-// itemStarted checks an item that was sent to a server.
+// itemStarted checks that an item that was sent to a server was allowed to start.
 func (c *clients) itemStarted(s *simulatedStore, id string) {
 	sim := c.sim
 	j := c.jobs[id]
@@ -118,17 +118,18 @@
 			sim.fail("%s: runs at %s, and %s owns it, too:%s", id, s.node, other.node, sim.describe(id))
 		}
 	}
-	c.checkPromise(j)
+	c.checkRejections(j)
 }
 
-// checkPromise checks that a batch job that was only ever rejected doesn't run.
-func (c *clients) checkPromise(j *clientJob) {
+// checkRejections checks that no item of a batch job runs if all its submissions were rejected.
+func (c *clients) checkRejections(j *clientJob) {
 	if j.starts > 0 && j.unanswered == 0 && j.rejections == j.attempts {
 		c.sim.fail("%s: an item ran though all %d attempts were rejected", j.id, j.attempts)
 	}
 }
 
-// call sends a call to a store and follows it to the owner.
+// call sends a call to a store, follows its answers to the owner, and calls done with the last answer, or with an empty
+// one after callTimeout.
 func (c *clients) call(
 	s *simulatedStore, call protocol.BatchCall, items []job.Item, hops int, done func(protocol.BatchAnswer),
 ) {
@@ -154,7 +155,7 @@
 	})
 }
 
-// follow makes a call again at the owner that its answer names.
+// follow repeats a call at the owner that its answer names.
 func (c *clients) follow(
 	answer protocol.BatchAnswer, call protocol.BatchCall, items []job.Item, hops int, finish func(protocol.BatchAnswer),
 ) {
@@ -169,7 +170,7 @@
 	finish(protocol.BatchAnswer{Status: 504})
 }
 
-// submitOnce submits a batch job, and perhaps a duplicate elsewhere.
+// submitOnce submits a batch job, and sometimes a duplicate to another store.
 func (c *clients) submitOnce(j *clientJob) {
 	sim := c.sim
 	j.attempts++
@@ -182,12 +183,12 @@
 			sim.schedule(sim.randomDuration(0, 800*time.Millisecond), func() { c.submitOnce(j) })
 		}
 	})
-	if sim.random.IntN(4) == 0 && j.attempts < maxAttempts { // a duplicate that goes elsewhere at the same time
+	if sim.random.IntN(4) == 0 && j.attempts < maxAttempts { // a duplicate at about the same time, to any store
 		sim.schedule(sim.randomDuration(0, 20*time.Millisecond), func() { c.submitOnce(j) })
 	}
 }
 
-// handleSubmitAnswer checks the answer to a submission, and starts what follows an acceptance.
+// handleSubmitAnswer checks the answer to a submission, and schedules the calls that follow an acceptance.
 func (c *clients) handleSubmitAnswer(j *clientJob, answer protocol.BatchAnswer) {
 	sim := c.sim
 	sim.note("%s is answered %d", j.id, answer.Status)
@@ -199,7 +200,7 @@
 		c.keepReading(j)
 		sim.schedule(sim.randomDuration(0, 3*time.Second), func() { c.readBody(j) })
 		if sim.random.IntN(3) == 0 {
-			sim.schedule(sim.randomDuration(0, 6*time.Second), func() { c.submitOnce(j) }) // another client sends it once more
+			sim.schedule(sim.randomDuration(0, 6*time.Second), func() { c.submitOnce(j) }) // another client submits it again
 		}
 		if sim.random.IntN(6) == 0 {
 			sim.schedule(sim.randomDuration(0, 5*time.Second), func() { c.end(j) })
@@ -210,7 +211,7 @@
 		}
 	case answer.Status == 503 || answer.Status == 429 && sim.tokenLimit > 0:
 		j.rejections++
-		c.checkPromise(j)
+		c.checkRejections(j)
 	case answer.Status >= 400 && answer.Status < 500 && !c.expired(j):
 		sim.fail("%s: a submission is answered %d", j.id, answer.Status)
 	}
@@ -227,7 +228,7 @@
 	} `json:"results"`
 }
 
-// keepReading reads until all results were read.
+// keepReading reads results until all have been read, and sometimes again later.
 func (c *clients) keepReading(j *clientJob) {
 	sim := c.sim
 	start := len(j.seen)
@@ -239,16 +240,16 @@
 	c.call(sim.anyStore(), call, nil, callHops, func(answer protocol.BatchAnswer) {
 		c.checkPage(j, start, sent, answer)
 		switch {
-		case c.expired(j) || c.quiet:
+		case c.expired(j) || c.stopped:
 		case !j.allRead() && !j.ended:
 			sim.schedule(sim.randomDuration(0, 600*time.Millisecond), func() { c.keepReading(j) })
-		case sim.random.IntN(2) == 0: // somebody looks again later
+		case sim.random.IntN(2) == 0: // a client reads again later
 			sim.schedule(sim.randomDuration(0, 6*time.Second), func() { c.keepReading(j) })
 		}
 	})
 }
 
-// checkPage checks results against those that were read before.
+// checkPage checks a page of results against the results that were read before.
 func (c *clients) checkPage(j *clientJob, start int, sent time.Duration, answer protocol.BatchAnswer) {
 	sim := c.sim
 	if answer.Status == 404 && sent > j.acceptedAt && !c.expired(j) {
@@ -293,21 +294,21 @@
 	j.seen[position], j.positions[item] = content, position
 }
 
-// readBody asks for an item's body, which is there until its result is listed.
+// readBody reads an item's body, which must be available until the item's result is listed.
 func (c *clients) readBody(j *clientJob) {
 	sim := c.sim
 	index := sim.random.IntN(len(j.items))
 	sent := sim.now
 	call := protocol.BatchCall{Operation: protocol.BatchBody, BatchJob: j.id, Tenant: "t", Item: j.items[index].ID}
 	c.call(sim.anyStore(), call, nil, callHops, func(answer protocol.BatchAnswer) {
-		c.takeBody(j, index, sent, answer)
-		if !j.allRead() && !j.endRequested && !c.quiet {
+		c.checkBody(j, index, sent, answer)
+		if !j.allRead() && !j.endRequested && !c.stopped {
 			sim.schedule(sim.randomDuration(0, 3*time.Second), func() { c.readBody(j) })
 		}
 	})
 }
 
-func (c *clients) takeBody(j *clientJob, index int, sent time.Duration, answer protocol.BatchAnswer) {
+func (c *clients) checkBody(j *clientJob, index int, sent time.Duration, answer protocol.BatchAnswer) {
 	sim := c.sim
 	switch {
 	case answer.Status == 200 && !bytes.Equal(answer.Body, j.items[index].Body):
--- a/internal/batch/replica/simulateditems_test.go
+++ b/internal/batch/replica/simulateditems_test.go
@@ -8,13 +8,13 @@
 	"sprucelane.example/sprucelane/internal/batch/job"
 )
 
-// Items that run at a simulated store. Each has some events, which are saved as they come; a run that starts
-// again resumes after the last one.
+// This file runs items at a simulated store. Each item has some events, which are saved as they occur; a run that is
+// restarted resumes after the last saved event.
 
 // itemEvents is the number of events of an item.
 const itemEvents = 3
 
-// jobRun is the running items of a batch job, until it is stopped.
+// jobRun contains the running items of a batch job, until the batch job is stopped.
 type jobRun struct {
 	items map[int]bool
 }
@@ -53,7 +53,7 @@
 	}
 }
 
-// eventsOf reads what an earlier incarnation of the process kept of an item.
+// eventsOf reads the events of an item that an earlier incarnation of the process saved.
 func (s *simulatedStore) eventsOf(id string, item JobItem) (lines []string, ok bool) {
 	encoded, err := s.Read(item.At)
 	if err != nil {
@@ -72,7 +72,7 @@
 		lines = append(lines, string(line))
 	}
 	if item.Last >= 0 && int(item.Last) != len(lines) {
-		s.sim.fail("%s: item %d of %s: %d events are kept, the last is %d", s.node, item.Index, id, len(lines), item.Last)
+		s.sim.fail("%s: item %d of %s: %d events saved, the last has id %d", s.node, item.Index, id, len(lines), item.Last)
 	}
 	return lines, true
 }
@@ -86,21 +86,21 @@
 		return
 	}
 	if s.givenUp(id) {
-		s.list(id, run, index, job.DeadLetter, "")
+		s.finishItem(id, run, index, job.DeadLetter, "")
 		return
 	}
 	s.sim.clients.itemStarted(s, id)
 	s.nextEvent(id, run, index, lines)
 }
 
-// nextEvent takes the item's next event, or lists its result after the last one.
+// nextEvent saves the item's next event after a delay, or finishes the item after the last one.
 func (s *simulatedStore) nextEvent(id string, run *jobRun, index int, lines []string) {
 	if s.running[id] != run {
 		return
 	}
 	if len(lines) == itemEvents {
 		s.sim.clients.jobs[id].done[index] = true
-		s.list(id, run, index, job.Completed, strings.Join(lines, "\n"))
+		s.finishItem(id, run, index, job.Completed, strings.Join(lines, "\n"))
 		return
 	}
 	s.later(s.sim.randomDuration(20*time.Millisecond, 300*time.Millisecond), func() {
@@ -118,21 +118,22 @@
 	})
 }
 
-// givenUp reports whether a batch job's items are past their lifetime by this store's clock, as the runner judges it.
+// givenUp reports whether a batch job's items have exceeded their lifetime by this store's clock, as the runner decides
+// it.
 func (s *simulatedStore) givenUp(id string) bool {
 	work, ok := s.machine.Work(id)
 	age := time.Duration(s.WallClock()-work.FirstSent) * time.Millisecond
 	return ok && age > s.sim.itemLifetime+maxClockSkew
 }
 
-// list lists an item's result, as soon as the state machine takes it.
-func (s *simulatedStore) list(id string, run *jobRun, index int, state job.State, text string) {
+// finishItem lists an item's result as soon as the state machine accepts it.
+func (s *simulatedStore) finishItem(id string, run *jobRun, index int, state job.State, text string) {
 	if s.running[id] == run && !s.machine.Finish(id, index, state, []byte(text)) {
-		s.later(200*time.Millisecond, func() { s.list(id, run, index, state, text) })
+		s.later(200*time.Millisecond, func() { s.finishItem(id, run, index, state, text) })
 	}
 }
 
-// isCompleteText reports whether a text is an item's output: each of its events once, in order.
+// isCompleteText reports whether a text is the complete output of an item: each of its events once, in order.
 func isCompleteText(text, id string, index int) bool {
 	lines := strings.Split(text, "\n")
 	if len(lines) != itemEvents {
--- a/internal/batch/replica/simulatedstore_test.go
+++ b/internal/batch/replica/simulatedstore_test.go
@@ -15,7 +15,8 @@
 	"sprucelane.example/sprucelane/internal/simulation"
 )
 
-// A simulated store: a process with the real write-ahead log on a simulated disk, whose operations take time.
+// This file contains a simulated store: a process with the real write-ahead log on a simulated disk, whose operations
+// take time.
 
 // fullDiskRetry is the time between attempts to write to a full disk.
 const fullDiskRetry = 200 * time.Millisecond
@@ -26,31 +27,31 @@
 	node, ip           string
 	zone               string
 	incarnation        int
-	skew               time.Duration // of its time of day
+	skew               time.Duration // deviation of the store's time of day
 	disk               *simulation.Disk
-	corrupted          bool // bits of its log were inverted
+	corrupted          bool // bits of the store's log were inverted
 	fs                 slots.FS
 	processIncarnation uint64
 	up                 bool
 	paused             bool
-	removed            bool // taken away for good
+	removed            bool // removed permanently
 	delayedInputs      []func()
 	machine            *StateMachine
 	generation         int // of the process
 	running            map[string]*jobRun
-	idle               bool // no items are run
+	idle               bool // the store runs no items
 	answers            map[CallID]func(protocol.BatchAnswer)
 	lastCall           CallID
 
 	log             *wal.Log
 	stepping        bool
-	wakeAt          time.Duration // 0: nothing is queued
+	wakeAt          time.Duration // when the log is written next; 0 if nothing is queued
 	reportedDurable uint64        // last record that was reported to the state machine as durable
 	appended        []wal.Location
-	lastDurable     wal.Location // of the last durable record
-	lastProven      wal.Location // of the last one that a later group was synced behind
+	lastDurable     wal.Location // location of the last durable record
+	lastProven      wal.Location // location of the last record behind which a later group was synced
 	stalled         bool
-	slowdown        int // what the disk's time is multiplied by
+	slowdown        int // factor by which the duration of disk operations is multiplied
 }
 
 func newSimulatedStore(sim *storeSimulation, node, ip, zone string) *simulatedStore {
@@ -62,7 +63,7 @@
 	return s
 }
 
-// newIncarnation gives the disk, which is empty, an incarnation of its own.
+// newIncarnation gives an empty disk a new incarnation, except with bugWipedKeepsName.
 func (s *simulatedStore) newIncarnation() {
 	if s.incarnation > 0 && s.sim.bug == bugWipedKeepsName {
 		return
@@ -80,7 +81,7 @@
 
 func (s *simulatedStore) key() placement.Key { return placement.KeyOf(s.process()) }
 
-// start starts the process on what is on the disk.
+// start starts the process on the present content of the disk.
 func (s *simulatedStore) start() {
 	sim := s.sim
 	s.processIncarnation++
@@ -118,8 +119,8 @@
 	s.poll()
 }
 
-// walOptions lets the log skip unreadable parts where the simulation corrupted the disk. Elsewhere there must
-// be none.
+// walOptions lets the log skip unreadable parts if the simulation has corrupted the disk. Otherwise there must be no
+// such parts.
 func (s *simulatedStore) walOptions() wal.Options {
 	options := wal.Options{SegmentSize: s.sim.segmentSize}
 	if s.corrupted {
@@ -128,8 +129,8 @@
 	return options
 }
 
-// corruptLog inverts some bits of the log, where they can't be taken for the effect of a loss of power. It
-// reports whether there is such a place.
+// corruptLog inverts some bits of the log, at places where the damage can't be mistaken for the effect of a loss of
+// power. It reports whether there is such a place.
 func (s *simulatedStore) corruptLog() bool {
 	parts := s.provenParts()
 	if len(parts) == 0 {
@@ -145,14 +146,14 @@
 	return true
 }
 
-// logPart is the beginning of a segment.
+// logPart is the first part of a segment.
 type logPart struct {
 	name string
 	size int64
 }
 
-// provenParts returns what the log itself proves to have been synced: all but the last group of the newest
-// segment.
+// provenParts returns the parts of the log that have certainly been synced, as the log itself shows: all except for the
+// last group of the newest segment.
 func (s *simulatedStore) provenParts() []logPart {
 	names, _ := s.disk.List()
 	var parts []logPart
@@ -171,7 +172,8 @@
 	return parts
 }
 
-// do runs a function in the process: at once, when it resumes, or never if it ended.
+// do runs a function in the process: at once if the process runs, when it resumes if it is paused, or never if it has
+// ended.
 func (s *simulatedStore) do(run func()) {
 	if !s.up {
 		return
@@ -183,7 +185,7 @@
 	run()
 }
 
-// later has a function run in the process after a delay, unless it ends before.
+// later runs a function in the process after a delay, unless the process ends before.
 func (s *simulatedStore) later(delay time.Duration, run func()) {
 	generation := s.generation
 	s.sim.schedule(delay, func() {
@@ -193,7 +195,7 @@
 	})
 }
 
-// every has a function run in the process again and again.
+// every runs a function in the process periodically.
 func (s *simulatedStore) every(period time.Duration, run func()) {
 	s.later(period, func() {
 		run()
@@ -201,14 +203,14 @@
 	})
 }
 
-// restart starts the process unless it runs.
+// restart starts the process unless it runs or the store has been removed.
 func (s *simulatedStore) restart() {
 	if !s.up && !s.removed {
 		s.start()
 	}
 }
 
-// stop ends the process.
+// stop ends the process. Its pending calls get an empty answer.
 func (s *simulatedStore) stop() {
 	if !s.up {
 		return
@@ -222,21 +224,21 @@
 	}
 }
 
-// kill ends the process; all that it wrote stays in its files.
+// kill ends the process. All that it wrote stays in its files.
 func (s *simulatedStore) kill() {
 	s.sim.note("%s is killed", s.node)
 	s.stop()
 	s.disk.Kill()
 }
 
-// losePower ends the process and loses some or all of what was not synced.
+// losePower ends the process and loses some or all of the data that was not synced.
 func (s *simulatedStore) losePower() {
 	s.sim.note("%s loses power", s.node)
 	s.stop()
 	s.disk.LosePower()
 }
 
-// powerFails is a loss of power in the middle of a disk operation.
+// powerFails simulates a loss of power in the middle of a disk operation. The process starts again after a while.
 func (s *simulatedStore) powerFails() {
 	s.losePower()
 	s.sim.schedule(s.sim.randomDuration(100*time.Millisecond, 2*time.Second), s.restart)
@@ -251,13 +253,13 @@
 	s.newIncarnation()
 }
 
-// remove takes the store away for good.
+// remove removes the store permanently.
 func (s *simulatedStore) remove() {
 	s.wipe()
 	s.removed = true
 }
 
-// pause stops scheduling the process for a while.
+// pause stops scheduling the process for a duration.
 func (s *simulatedStore) pause(duration time.Duration) {
 	if !s.up || s.paused {
 		return
@@ -272,7 +274,7 @@
 	})
 }
 
-// resume runs a paused process on; what arrived meanwhile is handled in a random order.
+// resume continues a paused process. Inputs that arrived during the pause are handled in a random order.
 func (s *simulatedStore) resume() {
 	if !s.paused {
 		return
@@ -295,7 +297,7 @@
 
 // The log.
 
-// Write appends to the log, which is written after a while, or soon if the record is urgent.
+// Write appends a record to the log. The log is written after a delay, which is shorter if the record is urgent.
 func (s *simulatedStore) Write(record []byte, urgent bool) (uint64, wal.Location) {
 	sequence, at := s.log.Append(record)
 	s.appended = append(s.appended, at)
@@ -307,7 +309,7 @@
 	return sequence, at
 }
 
-// wake has the log written after a delay, unless it will be before.
+// wake schedules a write of the log after a delay, unless an earlier one is scheduled.
 func (s *simulatedStore) wake(delay time.Duration) {
 	at := s.sim.now + delay
 	if s.stepping || s.wakeAt > 0 && s.wakeAt <= at {
@@ -322,7 +324,7 @@
 	})
 }
 
-// step does the log's next disk operation, which takes time.
+// step does the log's next disk operation, which takes a random time, and continues until there is none.
 func (s *simulatedStore) step() {
 	if s.stalled {
 		s.later(20*time.Millisecond, s.step)
@@ -351,7 +353,7 @@
 	})
 }
 
-// sync makes all that was appended durable, at once.
+// sync makes all appended records durable at once.
 func (s *simulatedStore) sync() {
 	for more := true; more; {
 		var err error
@@ -363,7 +365,7 @@
 	s.reportDurable()
 }
 
-// reportDurable tells the state machine what is durable.
+// reportDurable reports to the state machine which records are durable.
 func (s *simulatedStore) reportDurable() {
 	durable := s.log.Durable()
 	if durable == s.reportedDurable {
@@ -375,7 +377,7 @@
 	s.machine.Synced(durable)
 }
 
-// release removes segments of the log that nothing needs any more.
+// release removes segments of the log that are not needed any more.
 func (s *simulatedStore) release() {
 	oldest, current := s.log.SegmentRange()
 	needed := s.machine.OldestSegment(current)
@@ -388,17 +390,17 @@
 			s.powerFails()
 			return
 		case err != nil:
-			s.sim.fail("%s: segment %d isn't released: %v", s.node, oldest, err)
+			s.sim.fail("%s: segment %d can't be removed: %v", s.node, oldest, err)
 			return
 		}
 		s.sim.note("%s releases segment %d", s.node, oldest)
 	}
 }
 
-// Read reads from the log; only what is durable may be read.
+// Read reads from the log. Only durable records may be read.
 func (s *simulatedStore) Read(at wal.Location) ([]byte, error) {
 	if isAfter(at, s.lastDurable) {
-		s.sim.fail("%s reads %v, durable is all up to %v", s.node, at, s.lastDurable)
+		s.sim.fail("%s reads %v, but only records up to %v are durable", s.node, at, s.lastDurable)
 	}
 	return s.log.Read(at)
 }
@@ -409,7 +411,7 @@
 		at.Segment == frontier.Segment && at.Offset+at.Length > frontier.Offset+frontier.Length
 }
 
-// FreeBytes returns the number of bytes that the disk still takes.
+// FreeBytes returns the number of free bytes on the disk.
 func (s *simulatedStore) FreeBytes() int64 {
 	if s.log.DiskFull() {
 		return 0
@@ -417,7 +419,7 @@
 	return 1<<30 - s.log.Size()
 }
 
-// fill leaves a number of free bytes on the disk for a while.
+// fill limits the free space on the disk to a number of bytes for a duration.
 func (s *simulatedStore) fill(free int64, duration time.Duration) {
 	s.sim.note("the disk of %s has %d bytes free", s.node, free)
 	used := int64(0)
@@ -432,18 +434,19 @@
 
 // The rest of the state machine's environment.
 
-// QueueLimit is the same at all stores.
+// QueueLimit returns the same limit at all stores.
 func (s *simulatedStore) QueueLimit(string) (int64, bool) { return s.sim.tokenLimit, true }
 
-// ItemLifetime covers stores whose clocks differ, and a run that starts at the end.
+// ItemLifetime returns a time that takes into account stores whose clocks differ, and a run that starts at the end of
+// the lifetime.
 func (s *simulatedStore) ItemLifetime(string) (time.Duration, bool) {
 	return s.sim.itemLifetime + 4*maxClockSkew, true
 }
 
-// Now is the simulation's monotonic clock.
+// Now returns the time of the simulation's monotonic clock.
 func (s *simulatedStore) Now() time.Duration { return s.sim.now }
 
-// WallClock is the store's time of day.
+// WallClock returns the store's time of day.
 func (s *simulatedStore) WallClock() int64 { return (s.sim.now + s.skew + time.Hour).Milliseconds() }
 
 // Send sends a message to another store.
@@ -466,7 +469,7 @@
 	})
 }
 
-// Answer ends a call, as the server does: a definite answer only while the store may act.
+// Answer answers a call, as the server does: it gives a definite answer only while the store may act.
 func (s *simulatedStore) Answer(callID CallID, answer protocol.BatchAnswer) {
 	answered := s.answers[callID]
 	if answered == nil {
--- a/internal/batch/replica/simulation_test.go
+++ b/internal/batch/replica/simulation_test.go
@@ -13,44 +13,44 @@
 	"sprucelane.example/sprucelane/internal/simulation"
 )
 
-// A simulation of several stores, seeded and in virtual time: links that lose, delay and reorder messages,
-// and control, which is the real state machine of the store membership and the real judgement of liveness in
-// one process that never fails. All randomness comes from the seed.
+// This file contains a simulation of several stores, which runs in virtual time: links lose, delay and reorder
+// messages. Control consists of the real state machine of the store membership and the real liveness table, in one
+// process that never fails. All randomness comes from the seed.
 
 const (
 	leaseMargin    = 100 * time.Millisecond // as in internal/batch/server
 	pollInterval   = 400 * time.Millisecond
 	cancelDeadline = 3 * time.Second // cancel-ms
-	maxClockSkew   = time.Second     // of a store's time of day, at most
+	maxClockSkew   = time.Second     // maximum deviation of a store's time of day
 	controlName    = "control"
 
-	// maxEvents bounds the events of a run, of which 10,000 are usual: beyond it stores send messages without
-	// end.
+	// maxEvents limits the events of a run. 10,000 are usual; more than maxEvents indicate that stores send messages
+	// without end.
 	maxEvents = 100_000
 )
 
-// event is something that happens at a time; order breaks ties.
+// event is a function that is called at a time. order decides between events of the same time.
 type event struct {
 	at    time.Duration
 	order int
 	run   func()
 }
 
-// storeSimulation is one run.
+// storeSimulation is one run of a simulation.
 type storeSimulation struct {
 	seed              uint64
 	random            *simulation.Rand
 	now               time.Duration
 	events            []event
 	order             int
-	eventCount        int // that have run
+	eventCount        int // number of events that have run
 	replicationFactor int
-	retention         time.Duration // of batch jobs
-	itemLifetime      time.Duration // after which items of a batch job are given up
+	retention         time.Duration // retention of batch jobs
+	itemLifetime      time.Duration // age of a batch job from which its items are not tried any more
 	segmentSize       int64         // bytes
-	tokenLimit        int64         // of queued tokens, 0 for none
+	tokenLimit        int64         // limit of queued tokens, 0 for none
 	stores            []*simulatedStore
-	incarnations      int // of disks, given out so far
+	incarnations      int // number of disk incarnations assigned so far
 	control           *statemachine.StateMachine
 	table             *liveness.Table
 	commandIndex      uint64
@@ -60,7 +60,7 @@
 	faultsEnded       bool
 	bug               string
 	tracing           bool
-	traceHash         uint64 // over all that was noted
+	traceHash         uint64 // hash of all texts given to note, with their times
 	failure           error
 }
 
@@ -80,15 +80,15 @@
 	return sim
 }
 
-// setRetention sets for how long batch jobs are kept, at all stores, as the settings of a deployment do.
-func (sim *storeSimulation) setRetention(status time.Duration) {
-	sim.retention = status
+// setRetention sets the retention of batch jobs at all stores, as the settings of a deployment do.
+func (sim *storeSimulation) setRetention(retention time.Duration) {
+	sim.retention = retention
 	for _, s := range sim.stores {
-		s.machine.options.Retention = status + 2*maxClockSkew
+		s.machine.options.Retention = retention + 2*maxClockSkew
 	}
 }
 
-// addStore starts a store on an empty disk.
+// addStore adds a store with an empty disk and starts it.
 func (sim *storeSimulation) addStore() *simulatedStore {
 	number := len(sim.stores) + 1
 	s := newSimulatedStore(sim, "store-"+strconv.Itoa(number), "ip-"+strconv.Itoa(number), "zone-"+strconv.Itoa(number%3+1))
@@ -97,7 +97,7 @@
 	return s
 }
 
-// schedule has a function called after a delay.
+// schedule adds an event that calls a function after a delay.
 func (sim *storeSimulation) schedule(delay time.Duration, run func()) {
 	sim.order++
 	sim.events = append(sim.events, event{at: sim.now + delay, order: sim.order, run: run})
@@ -173,19 +173,19 @@
 	}
 }
 
-// randomDuration draws a duration between two, both included.
+// randomDuration returns a random duration between least and most, both included.
 func (sim *storeSimulation) randomDuration(least, most time.Duration) time.Duration {
 	return least + time.Duration(sim.random.Int64N(int64(most-least)+1))
 }
 
-// partition loses all messages in one direction for a while.
+// partition drops all messages in one direction for a duration.
 func (sim *storeSimulation) partition(from, to string, duration time.Duration) {
 	direction := [2]string{from, to}
 	sim.partitions[direction]++
 	sim.schedule(duration, func() { sim.partitions[direction]-- })
 }
 
-// transmit delivers a message after a delay, or loses it.
+// transmit delivers a message after a random delay, or drops it.
 func (sim *storeSimulation) transmit(from, to string, deliver func()) {
 	if sim.partitions[[2]string{from, to}] > 0 || sim.random.Float64() < sim.lossRate {
 		return
@@ -206,7 +206,7 @@
 	return present
 }
 
-// storeOf returns the store whose disk has the key now; nil if there is none.
+// storeOf returns the store whose disk has the key at present; nil if there is none.
 func (sim *storeSimulation) storeOf(key placement.Key) *simulatedStore {
 	for _, s := range sim.stores {
 		if s.key() == key {
@@ -226,7 +226,7 @@
 	return nil
 }
 
-// remaining lists the stores that are not removed for good.
+// remaining lists the stores that have not been removed permanently.
 func (sim *storeSimulation) remaining() []*simulatedStore {
 	var list []*simulatedStore
 	for _, s := range sim.stores {
@@ -242,8 +242,8 @@
 	return list[sim.random.IntN(len(list))]
 }
 
-// runControl does what control does: stores that timed out are evicted, new ones join, drained ones are noted
-// as such.
+// runControl does the work of control at intervals: it evicts stores that timed out, admits new ones, and records that
+// all members have reconciled and which stores are drained.
 func (sim *storeSimulation) runControl() {
 	sim.schedule(100*time.Millisecond, sim.runControl)
 	view := sim.view()
@@ -263,7 +263,7 @@
 	}
 }
 
-// admission reports whether a store may join, as control does.
+// admission returns whether a store may join, as control decides it.
 func (sim *storeSimulation) admission(process protocol.Process) liveness.Admission {
 	switch {
 	case !sim.control.MayJoin(process):
@@ -274,7 +274,7 @@
 	return liveness.Admitted
 }
 
-// drainedMembers lists the retiring members that may be taken away.
+// drainedMembers lists the retiring members that are drained. With bugRetireEarly, that is all retiring members.
 func (sim *storeSimulation) drainedMembers(view protocol.StoreView) []protocol.StoreMember {
 	if sim.bug != bugRetireEarly {
 		return sim.table.Drained(sim.now, view)
@@ -288,7 +288,7 @@
 	return list
 }
 
-// command changes the set, and sends the new view to the stores that control reaches.
+// command applies a command to control's state, and sends a new view to the stores that control reaches.
 func (sim *storeSimulation) command(command statemachine.Command) statemachine.StoreOutcome {
 	order, err := command.Encode()
 	if err != nil {
@@ -324,7 +324,7 @@
 	return text
 }
 
-// poll reports to control, and asks it for the view and a lease.
+// poll sends this store's report to control, and requests the view and a lease, at intervals.
 func (s *simulatedStore) poll() {
 	sim := s.sim
 	sent, generation, process := sim.now, s.generation, s.process()
@@ -346,8 +346,8 @@
 	s.later(pollInterval, s.poll)
 }
 
-// toleratesLoss reports whether the next loss has to be tolerated: all stores are up and members, and control
-// has agreed that they have reconciled in the newest view.
+// toleratesLoss reports whether the next loss has to be tolerated: all stores are up and members, and control has
+// agreed that they have reconciled in the newest view.
 func (sim *storeSimulation) toleratesLoss() bool {
 	view := sim.view()
 	remaining := sim.remaining()
@@ -360,7 +360,7 @@
 	return view.Settled && len(remaining) == len(view.Members)
 }
 
-// describe returns what each store knows of a batch job.
+// describe returns a text with each store's state of a batch job.
 func (sim *storeSimulation) describe(id string) string {
 	text := fmt.Sprintf("\nepoch %d", sim.view().Epoch)
 	for _, s := range sim.stores {
--- a/internal/batch/replica/singlefault_test.go
+++ b/internal/batch/replica/singlefault_test.go
@@ -7,10 +7,10 @@
 	"sprucelane.example/sprucelane/internal/control/statemachine"
 )
 
-// Simulations with one kind of fault each.
+// This file contains simulations with one kind of fault each.
 
-// simulateFaults runs simulations with one kind of fault.
-func simulateFaults(t *testing.T, stores, tolerance int, strike func(c *campaign)) {
+// simulateFaults runs simulations into which injectFaults injects faults.
+func simulateFaults(t *testing.T, stores, tolerance int, injectFaults func(c *campaign)) {
 	t.Helper()
 	first := intFromEnvironment("FIRST", 1)
 	for seed := first; seed < first+intFromEnvironment("SEEDS", defaultSeedsPerFault); seed++ {
@@ -19,7 +19,7 @@
 		c := &campaign{storeSimulation: sim, tolerance: tolerance}
 		c.runUntil(1500 * time.Millisecond)
 		c.submitJobs()
-		strike(c)
+		injectFaults(c)
 		c.finish()
 		if c.failure != nil {
 			t.Fatalf("replay with FIRST=%d SEEDS=1: %v", seed, c.failure)
@@ -27,7 +27,7 @@
 	}
 }
 
-// TestRandomWithoutFaults runs under load alone.
+// TestRandomWithoutFaults runs simulations under load, without faults.
 func TestRandomWithoutFaults(t *testing.T) {
 	simulateFaults(t, 3, 1, func(*campaign) {})
 }
@@ -37,18 +37,18 @@
 	simulateFaults(t, 3, 1, func(c *campaign) { c.lossRate = 0.1 })
 }
 
-// TestRandomOneFaultAtATime injects faults into one store after the other: into the next only once the last
-// has recovered.
+// TestRandomOneFaultAtATime injects faults into one store after the other. The next fault is injected only after the
+// store of the last one has recovered.
 func TestRandomOneFaultAtATime(t *testing.T) {
 	simulateFaults(t, 3, 1, func(c *campaign) { c.faultStores(1) })
 }
 
-// TestRandomThreeCopies tolerates the loss of two at once.
+// TestRandomThreeCopies injects faults into two stores at once, which three copies tolerate.
 func TestRandomThreeCopies(t *testing.T) {
 	simulateFaults(t, 6, 2, func(c *campaign) { c.faultStores(2) })
 }
 
-// faultStores injects faults into a number of stores at once, again and again.
+// faultStores injects faults into a number of stores at once, and repeats this after their recovery.
 func (c *campaign) faultStores(count int) {
 	c.schedule(c.randomDuration(500*time.Millisecond, 4*time.Second), func() {
 		if c.faultsEnded {
@@ -83,22 +83,22 @@
 	})
 }
 
-// TestRandomAllLosePowerOneDisk loses one disk while all others lose power.
+// TestRandomAllLosePowerOneDisk cuts the power of all stores at once and loses the disk of one.
 func TestRandomAllLosePowerOneDisk(t *testing.T) {
 	simulateFaults(t, 3, 1, func(c *campaign) {
 		c.schedule(c.randomDuration(time.Second, 14*time.Second), func() { c.cutPower(c.stores[:1], time.Second) })
 	})
 }
 
-// TestRandomRetire drains a store, takes its disk away, and right after that loses another one's.
+// TestRandomRetire drains a store and removes it. In some runs, another store's disk is lost immediately afterwards.
 func TestRandomRetire(t *testing.T) {
 	simulateFaults(t, 4, 1, func(c *campaign) {
 		c.schedule(c.randomDuration(4*time.Second, 8*time.Second), func() { c.retire(c.remaining()[c.random.IntN(4):], 0) })
 	})
 }
 
-// TestRandomRetireOfLostDisk loses the drained disk before its machine is taken away, with whatever is on the
-// next one by then. Right after, another store's disk is lost in half of the runs.
+// TestRandomRetireOfLostDisk loses the disk of a drained store before the store is removed, so that the store has a new
+// disk by then. In half of the runs another store's disk is lost immediately afterwards.
 func TestRandomRetireOfLostDisk(t *testing.T) {
 	simulateFaults(t, 4, 1, func(c *campaign) {
 		s := c.anyStore()
@@ -148,14 +148,14 @@
 	})
 }
 
-// TestRandomCorruption corrupts the logs of stores between other faults: all that was promised is there from
-// the other copies.
+// TestRandomCorruption corrupts the logs of stores between other faults. All promised data must be restored from the
+// other copies.
 func TestRandomCorruption(t *testing.T) {
 	strike := func(c *campaign) {
 		c.onlyFaults = []string{
 			faultCorruption, faultWipe, faultReplace, faultKill, faultAllPower, faultAllPowerDisks, faultRetire,
 		}
-		c.impatient = c.seed%2 == 0
+		c.earlyFaults = c.seed%2 == 0
 		c.schedule(c.randomDuration(time.Second, 4*time.Second), c.injectFault)
 	}
 	simulateFaults(t, 4, 1, strike)
@@ -169,8 +169,8 @@
 	c.schedule(down, s.restart)
 }
 
-// TestRandomUnboundedFaults injects faults without any limit except that disks stay: no answer may be wrong,
-// though not all calls may be served.
+// TestRandomUnboundedFaults injects faults into any number of stores at once, but loses no disks. No answer may be
+// wrong, although some calls may not be served.
 func TestRandomUnboundedFaults(t *testing.T) {
 	simulateFaults(t, 4, 1, func(c *campaign) {
 		c.lossRate = 0.05
--- a/internal/batch/replica/statemachine.go
+++ b/internal/batch/replica/statemachine.go
@@ -44,7 +44,7 @@
 	inventoriesRequestedAt time.Duration
 	inventories            map[placement.Key]InventoryResponse
 	incarnations           map[placement.Key]uint64     // newest process incarnation seen of each store
-	transfers              map[string]ownershipTransfer // batch jobs whose designated owner this store is, and that it transferred
+	transfers              map[string]ownershipTransfer // batch jobs that this store would own, and transferred to others
 	reconciledEpoch        uint64                       // newest epoch in which this store had reconciled
 
 	jobs        map[string]*storedJob
--- a/internal/batch/replica/status_test.go
+++ b/internal/batch/replica/status_test.go
@@ -8,7 +8,7 @@
 	"sprucelane.example/sprucelane/internal/batch/placement"
 )
 
-// TestStatus checks what a store reports that it waits for.
+// TestStatus checks the stores and batch jobs for which a store reports that it waits.
 func TestStatus(t *testing.T) {
 	Convey("A store that hasn't reconciled names the stores and the batch jobs that it waits for", t, func() {
 		c := newCluster(6, 2, 1)
