--- a/internal/batch/replica/calls.go
+++ b/internal/batch/replica/calls.go
@@ -49,12 +49,13 @@
 // accepted returns the answer that the batch job is on all disks of its replica set.
 func accepted() protocol.BatchAnswer { return protocol.BatchAnswer{Status: http.StatusAccepted} }
 
-// unavailable returns the answer that the call had no effect and should be retried.
+// unavailable returns the answer that promises that the call had no effect.
 func unavailable() protocol.BatchAnswer {
 	return protocol.BatchAnswer{Status: http.StatusServiceUnavailable, RetryAfterMs: int(retryAfter.Milliseconds())}
 }
 
-// overLimit returns the answer that the call had no effect: the batch job doesn't fit within its account's limit now.
+// overLimit returns the answer that promises that the call had no effect: the batch job doesn't fit within its
+// account's limit now.
 func overLimit() protocol.BatchAnswer {
 	return protocol.BatchAnswer{Status: http.StatusTooManyRequests, RetryAfterMs: int(overLimitRetry.Milliseconds())}
 }
--- a/internal/batch/replica/departures_test.go
+++ b/internal/batch/replica/departures_test.go
@@ -384,11 +384,11 @@
 	})
 }
 
-// TestMissingNoMore makes a store wait for missing stores that may hold a newer version, until they don't count any
-// more.
-func TestMissingNoMore(t *testing.T) {
-	// newWaitingStore returns a store with the only present copy, which waits because two machines are missing, as many as there
-	// are copies.
+// TestMissingStoresStopCounting makes a store wait for missing stores that may hold a newer version, until these don't
+// count any more.
+func TestMissingStoresStopCounting(t *testing.T) {
+	// newWaitingStore returns a store with the only present copy, which waits because two machines are missing, as many
+	// as there are copies.
 	newWaitingStore := func() (*cluster, *clusterNode) {
 		c := newCluster(6, 2, 1)
 		So(c.nodes[0].submit("job", 4).Status, ShouldEqual, 202)
@@ -471,8 +471,8 @@
 	})
 }
 
-// TestDrainedStoreIsNotMissed drains a store while others are absent.
-func TestDrainedStoreIsNotMissed(t *testing.T) {
+// TestDrainedStoreIsNotMissing drains a store while others are absent.
+func TestDrainedStoreIsNotMissing(t *testing.T) {
 	Convey("A store is drained once all others have reported that they reconciled, and then isn't missing", t, func() {
 		c := newCluster(4, 2, 1)
 		So(c.nodes[0].submit("job", 2).Status, ShouldEqual, 202)
--- a/internal/batch/replica/handover.go
+++ b/internal/batch/replica/handover.go
@@ -105,9 +105,9 @@
 	m.maybeCommit(j)
 }
 
-// drained reports whether this store is retiring and all its batch jobs have been handed over. It is false until all
-// members have reconciled, because until then a member may still choose replica sets in this epoch, and while there is
-// no active member.
+// drained reports whether this store is retiring and all its batch jobs have been handed over, so that it holds nothing
+// that other stores don't. It is false until all members have reconciled, because until then a member may still choose
+// replica sets in this epoch, and while there is no active member.
 func (m *StateMachine) drained() bool {
 	if !m.retiring || !m.reconciled || len(m.acceptances) > 0 {
 		return false
--- a/internal/batch/replica/losses_test.go
+++ b/internal/batch/replica/losses_test.go
@@ -225,7 +225,7 @@
 	h.changeMembers()
 }
 
-// retire drains a store and removes it.
+// retire drains a store and removes it. It is called only while no machine is lost or absent.
 func (h *lossHistory) retire(n *clusterNode) {
 	h.note("%s retires", n.key())
 	n.state = protocol.StoreRetiring
--- a/internal/batch/replica/modelfaults_test.go
+++ b/internal/batch/replica/modelfaults_test.go
@@ -127,8 +127,8 @@
 	return true
 }
 
-// runFaults runs the model with faults, which are in the order of their steps, until the run is done. It returns the number
-// of injected faults.
+// runFaults runs the model with faults, which are in the order of their steps, until the run is done. It returns the
+// number of injected faults.
 func (sim *modelCluster) runFaults(faults []modelFault) (injected int) {
 	sim.rounds = 0
 	for sim.failure == "" && (len(faults) > 0 || !sim.done()) && sim.rounds < modelMaxRounds {
@@ -255,8 +255,8 @@
 // under its old version, while an absent store has chosen a higher version that was never fully replicated. A random
 // run found this failure.
 func TestSetModelVersionAfterAbsence(t *testing.T) {
-	checkTrace(t, 3, 2, modelFault{modelPause, 1, 17}, modelFault{modelCrashLong, 0, 30}, modelFault{modelCrashLong, 2, 49},
-		modelFault{modelCrashLong, 1, 72})
+	checkTrace(t, 3, 2, modelFault{modelPause, 1, 17}, modelFault{modelCrashLong, 0, 30},
+		modelFault{modelCrashLong, 2, 49}, modelFault{modelCrashLong, 1, 72})
 	faults := []modelFault{{modelPause, 1, 15}, {modelCrashLong, 2, 28}, {modelCrashLong, 0, 41}, {modelCrashLong, 1, 51}}
 	checkTrace(t, 3, 2, faults...)
 	if sim, _ := runModel(3, 2, modelBugs{keepsVersion: true}, faults...); !strings.Contains(sim.failure, modelDataLost) {
--- a/internal/batch/replica/restart_test.go
+++ b/internal/batch/replica/restart_test.go
@@ -123,9 +123,9 @@
 	})
 }
 
-// TestReportsOfDifferentMoments sends control a successor's report from before it took over the batch job, and the
+// TestReportsOfDifferentTimes sends control a successor's report from before it took over the batch job, and the
 // report of the store that handed the batch job over from after that store's restart.
-func TestReportsOfDifferentMoments(t *testing.T) {
+func TestReportsOfDifferentTimes(t *testing.T) {
 	Convey("Control doesn't conclude from an outdated report that all members have reconciled", t, func() {
 		c := newCluster(8, 3, 1)
 		So(c.nodes[0].submit("job", 2).Status, ShouldEqual, 202)
