--- a/coord/replica/api.go
+++ b/coord/replica/api.go
@@ -10,14 +10,15 @@
 	"sprucelane.example/sprucelane/coord/view"
 )
 
-// Propose has a command applied, from any node, and returns its result. A nil error means that the command is
-// on the synced disks of the whole chain, more than Options.Tolerance of them.
+// Propose proposes a command, waits until it is applied, and returns its result. It may be called on any node. A
+// nil error means that the command is on the synced disks of the whole chain, which are more than
+// Options.Tolerance disks.
 //
-// The same ID proposed again returns the first outcome, as long as it is among those of the latest
-// chain.DeduplicationWindow commands; a command that got ErrUncertain may be proposed again with its ID
+// If the same ID is proposed again, Propose returns the first outcome, as long as it is among the outcomes of the
+// latest chain.DeduplicationWindow commands. After ErrUncertain, a command may be proposed again with its ID
 // through any node. An empty ID is replaced by a unique one.
 //
-// ErrUnavailable concerns this call alone: an earlier call with the same ID may have been taken.
+// ErrUnavailable refers to this call only: an earlier call with the same ID may have been accepted.
 func (n *Node) Propose(ctx context.Context, id string, command []byte) ([]byte, error) {
 	if id == "" {
 		id = n.newCommandID()
@@ -42,14 +43,14 @@
 
 // newCommandID returns an ID that no other call, process or machine uses.
 func (n *Node) newCommandID() string {
-	return fmt.Sprintf("%s/%x/%d", n.core.self.ID(), n.core.incarnation, n.drawnIDs.Add(1))
+	return fmt.Sprintf("%s/%x/%d", n.core.self.ID(), n.core.incarnation, n.generatedIDs.Add(1))
 }
 
 // withdrawTimeout bounds the wait for the loop once a caller's context has ended.
 const withdrawTimeout = 20 * time.Millisecond
 
-// withdraw ends the wait for a command. Only the loop knows whether the command left the node; if the disk
-// holds up the loop, the outcome counts as uncertain.
+// withdraw ends the wait for a command. Only the loop knows whether the command left the node; if the loop is
+// blocked by the disk, the outcome is reported as uncertain.
 func (n *Node) withdraw(id string, waiter *outcomeWaiter, cause error) ([]byte, error) {
 	limited, cancel := context.WithTimeout(context.Background(), withdrawTimeout)
 	defer cancel()
@@ -98,9 +99,9 @@
 	}
 }
 
-// Staleness returns a bound on how stale the local state is: every command acknowledged longer ago than age
-// is applied here. It sends nothing; the age grows with the steady clock until the next proof arrives. ok is
-// false before the first one.
+// Staleness returns a bound on the staleness of the local state: every command acknowledged longer ago than age
+// is applied on this node. It sends nothing; the age grows with the monotonic clock until the next proof
+// arrives. ok is false before the first proof.
 func (n *Node) Staleness() (age time.Duration, ok bool) {
 	current := n.status.Load()
 	if !current.stalenessKnown {
@@ -115,21 +116,21 @@
 // Self returns the node as a member.
 func (n *Node) Self() view.Member { return n.core.self }
 
-// Members returns the machines with a disk that the node knows, as of its last tick: it ticks every 100 ms,
-// without a disk every 250 ms.
+// Members returns the machines with a disk that the node knows, as of its last tick. A node ticks every 100 ms,
+// a node without a disk every 250 ms.
 func (n *Node) Members() []Peer { return n.status.Load().members }
 
-// Applied returns the index of the last command applied here.
+// Applied returns the index of the last command applied on this node.
 func (n *Node) Applied() uint64 { return n.status.Load().applied }
 
-// IsHead reports whether the node is the head of the newest view that it knows. Another one may have replaced
-// it.
+// IsHead reports whether the node is the head of the newest view that it knows. In a newer view, another node may
+// have replaced it.
 func (n *Node) IsHead() bool { return n.View().Head().Same(n.core.self) }
 
 // LeaderLease returns the leader lease, if this node holds it: the epoch, which serves as a fencing token,
 // and the moment until which no other node has the lease. Singleton roles depend on it (see coord/leader);
-// their holder compares the moment with the clock right before each act. A new head gets the lease only once
-// that of the one before has expired.
+// their holder compares the moment with the clock right before each action. A new head gets the lease only after
+// the lease of the previous head has expired.
 func (n *Node) LeaderLease() (epoch uint64, until time.Time, ok bool) {
 	current := n.status.Load()
 	if !time.Now().Before(current.leaseExpiry) {
@@ -138,31 +139,32 @@
 	return current.leaseEpoch, current.leaseExpiry, true
 }
 
-// HeadLease returns the moment until which no successor of this node's epoch acts, if the node is its head.
-// Unlike LeaderLease, it doesn't wait until the lease of an earlier head has expired: it is for a holder that
-// knows that no other has acted since it did itself, in this incarnation or an earlier one of its disk.
+// HeadLease returns the moment until which the head of no later epoch acts, if this node is the head of its
+// epoch. Unlike LeaderLease, it doesn't wait until the lease of an earlier head has expired: it is for a holder
+// that knows that no other node has acted since it last acted itself, in this incarnation or an earlier one of
+// its disk.
 func (n *Node) HeadLease() (until time.Time, ok bool) {
 	until = n.status.Load().headLeaseExpiry
 	return until, time.Now().Before(until)
 }
 
-// OnApply registers a function that is called after each command applied here, in order, on the goroutine of
-// the loop. It must be short and must not call Propose or Read. Commands that arrive within a snapshot aren't
-// reported, nor is a repetition of a command.
-func (n *Node) OnApply(call func(index uint64, command, result []byte)) {
+// OnApply registers a function that is called after each command applied on this node, in order, on the goroutine
+// of the loop. It must return quickly and must not call Propose or Read. It is not called for commands that
+// arrive within a snapshot, nor for repetitions of a command.
+func (n *Node) OnApply(callback func(index uint64, command, result []byte)) {
 	n.callbackMu.Lock()
 	defer n.callbackMu.Unlock()
 	next := *n.callbacks.Load()
-	next.onApply = append(slices.Clone(next.onApply), call)
+	next.onApply = append(slices.Clone(next.onApply), callback)
 	n.callbacks.Store(&next)
 }
 
 // OnView registers a function that is called after each change of the view, on the goroutine of the loop.
-func (n *Node) OnView(call func(view.View)) {
+func (n *Node) OnView(callback func(view.View)) {
 	n.callbackMu.Lock()
 	defer n.callbackMu.Unlock()
 	next := *n.callbacks.Load()
-	next.onView = append(slices.Clone(next.onView), call)
+	next.onView = append(slices.Clone(next.onView), callback)
 	n.callbacks.Store(&next)
 }
 
@@ -172,25 +174,28 @@
 	_ = n.enqueue(context.Background(), func() { n.core.seeds = copied })
 }
 
-// HandOver takes this node out of the chain by a change of the view, before its process ends, so that the
-// others need no failure detection. A head thereby gives up the leader lease; it is coord/leader's leadership
-// transfer. It returns nil once the node is out and the others have the complete prefix, or have had
-// departureTimeout (1 s) to get it. It returns ErrUnavailable if the chain has too few members to spare this
-// one, ErrClosed, or the error of ctx: then the departure goes on, and the node may still be in the chain.
+// HandOver takes this node out of the chain by a change of the view, before its process ends, so that the other
+// members don't have to detect its failure first. If the node is the head, it thereby gives up the leader lease;
+// coord/leader uses this for its leadership transfer.
+//
+// HandOver returns nil once the node is out of the chain and the others have the complete prefix, or once they
+// have had departureTimeout (1 s) to get it. It returns ErrUnavailable if the chain has too few members to go on
+// without this node, or ErrClosed. If it returns the error of ctx, the departure continues, and the node may
+// still be in the chain.
 func (n *Node) HandOver(ctx context.Context) error {
-	out := make(chan struct{}, 1)
-	spared := true
+	departed := make(chan struct{}, 1)
+	possible := true
 	err := n.runOnLoop(ctx, func() {
-		spared = n.core.leave(n.now(), func() { out <- struct{}{} })
+		possible = n.core.leave(n.now(), func() { departed <- struct{}{} })
 	})
 	if err != nil {
 		return err
 	}
-	if !spared {
+	if !possible {
 		return ErrUnavailable
 	}
 	select {
-	case <-out:
+	case <-departed:
 		return nil
 	case <-n.done:
 		return ErrClosed
@@ -199,7 +204,7 @@
 	}
 }
 
-// Close ends the node at once, without a change of the view: to the others it looks like a crash.
+// Close stops the node immediately, without a change of the view: to the other nodes this looks like a crash.
 func (n *Node) Close() {
 	n.closeOnce.Do(func() { close(n.closing) })
 	<-n.done
--- a/coord/replica/checkpoint.go
+++ b/coord/replica/checkpoint.go
@@ -4,7 +4,7 @@
 	"math"
 )
 
-// checkpoint returns the complete durable state, encoded, after it has compacted the log.
+// checkpoint compacts the log and returns the complete durable state, encoded.
 func (c *core) checkpoint() []byte {
 	c.compactLog()
 	baseIndex, baseEpoch := c.log.Base()
@@ -19,9 +19,9 @@
 	})
 }
 
-// compactLog drops applied commands from the log, down to about retainedLogBytes. It leaves the log alone
-// while the state machine is beyond its end: a member outside the chain applies commands as a learner that
-// its own log lacks.
+// compactLog removes applied commands from the log, except the latest ones, of up to retainedLogBytes. It doesn't
+// change the log while the state machine is ahead of the log's end: as a learner, a member outside of the chain
+// applies commands that its own log lacks.
 func (c *core) compactLog() {
 	applied, _ := c.state.Applied()
 	base, _ := c.log.Base()
--- a/coord/replica/core.go
+++ b/coord/replica/core.go
@@ -11,19 +11,19 @@
 
 // envelope is an outgoing message.
 type envelope struct {
-	to   view.Member // without an incarnation: any process at the address
+	to   view.Member // empty Incarnation: any process at the address
 	body any
 }
 
 // coreOptions configure a core.
 type coreOptions struct {
 	self         view.Member
-	hasDisk      bool // without a disk, the node always is a learner
+	hasDisk      bool // false: the node is always a learner
 	tolerance    int  // number of disks that may be lost at once
 	limits       limits
 	seeds        []string // coordination addresses to query while no member of the view is reachable
 	stateMachine chain.StateMachine
-	random       *rand.Rand // of backoffs, and of a learner's first upstream
+	random       *rand.Rand // draws backoffs and a learner's first upstream
 	incarnation  uint64     // of the process, drawn at its start; view.Member.Incarnation is that of the disk
 
 	logEvent      func(event string, fields ...any) // may be nil
@@ -31,18 +31,18 @@
 	onViewAdopted func(view.View)
 }
 
-// core is the pure state machine of a node: messages and time go in, records and messages come out. It has no
-// goroutines, sockets, disks or clocks. For each batch of inputs, its carrier
+// core is the pure state machine of a node: its inputs are messages and time, its outputs records and messages.
+// It uses no goroutines, sockets, disks or clocks. For each batch of inputs, its driver
 //
 //  1. calls step, tick, submit, read or leave for each input,
-//  2. makes durable what takeRecords returns,
+//  2. makes the records returned by takeRecords durable,
 //  3. calls persisted, and
-//  4. sends what takeMessages returns.
+//  4. sends the messages returned by takeMessages.
 //
 // The order is a safety requirement: an acknowledgement, a prepare response or an accept response is a
-// statement about durable state, and is sent only after the records that it rests on are durable. If step 2
-// fails, the carrier discards the messages, and calls reopened with what the disk holds once it takes writes
-// again.
+// statement about durable state, and is sent only after the records that it depends on are durable. If step 2
+// fails, the driver discards the messages. Once the disk accepts writes again, it calls reopened with the
+// contents of the disk.
 type core struct {
 	coreOptions
 	acceptor     view.Acceptor
@@ -51,11 +51,11 @@
 	syncedEpoch  uint64        // highest epoch in which the log had the complete prefix: (I) in coord/view
 	commitIndex  uint64        // last command known to be on all disks of a chain
 	durableIndex uint64        // last command on this member's disk; durableIndex <= log.LastIndex()
-	now          time.Duration // time of the present input, on the carrier's clock
+	now          time.Duration // time of the current input, on the driver's clock
 
-	records       [][]byte   // decided, and not yet taken by the carrier
-	checkpointDue bool       // the next write is a checkpoint in place of records
-	messages      []envelope // decided, and not to be sent before the records are durable
+	records       [][]byte   // queued until the driver calls takeRecords
+	checkpointDue bool       // the next write is a checkpoint instead of records
+	messages      []envelope // queued until the records are durable
 
 	replication replicationState
 	proposer    proposerState
@@ -67,7 +67,7 @@
 	heartbeats       heartbeatRounds
 	epochConfirmedAt time.Duration // no successor of this epoch was decided before; never: unproven
 	staleness        stalenessProof
-	leaseNotBefore   time.Duration // this member, if it is the head, may hold the leader lease from here on
+	leaseNotBefore   time.Duration // this member, as the head, doesn't hold the leader lease before this moment
 
 	lastTick      time.Duration
 	lastHeartbeat time.Duration
@@ -75,12 +75,12 @@
 	viewQueries   int // sent so far; selects the next address
 
 	leaving    bool
-	onDeparted func() // called once this member is out of the chain and the others know
+	onDeparted func() // called when this member has left the chain and the others know; see checkDeparture
 	departedAt time.Duration
 }
 
-// newCore starts a member from what its disk held, nil for an empty disk or none. genesis is the first view
-// where this start founds the system; it is ignored if the disk held something.
+// newCore returns the core of a starting process. recovered is the state found on its disk, nil for an empty
+// disk or none. genesis is the first view if this start founds the system; it is ignored if recovered isn't nil.
 func newCore(options coreOptions, recovered *recoveredState, genesis *view.View, now time.Duration) (*core, error) {
 	c := &core{
 		coreOptions:    options,
@@ -121,7 +121,8 @@
 	return c, nil
 }
 
-// loadRecovered takes over what the disk holds, beside the state machine.
+// loadRecovered sets the durable state of the core, except for the state machine, to the state recovered from the
+// disk.
 func (c *core) loadRecovered(recovered *recoveredState) {
 	c.acceptor.DurableState = recovered.durable
 	c.syncedEpoch = recovered.synced
@@ -133,13 +134,13 @@
 // view returns the newest decided view that this node knows.
 func (c *core) view() view.View { return c.acceptor.View }
 
-// epoch returns the number of the present view; 0: none is known yet.
+// epoch returns the epoch of the current view, 0 if no view is known yet.
 func (c *core) epoch() uint64 { return c.acceptor.View.Epoch }
 
 // isVoter reports whether this member votes on the next view.
 func (c *core) isVoter() bool { return c.hasDisk && c.acceptor.View.IsVoter(c.self) }
 
-// inChain reports whether this member belongs to the present chain.
+// inChain reports whether this member belongs to the current chain.
 func (c *core) inChain() bool { return c.hasDisk && c.acceptor.View.InChain(c.self) }
 
 // serving reports whether this member may append, forward and acknowledge commands in its epoch: it is in the
@@ -149,12 +150,12 @@
 	return c.inChain() && c.syncedEpoch == c.epoch() && !c.acceptor.Wedged()
 }
 
-// toleratesFailures reports whether the chain is long enough to commit. A command on the disks of a shorter
-// chain could be lost with as many disks as must be tolerated.
+// toleratesFailures reports whether the chain is long enough to commit. A command that is only on the disks of a
+// shorter chain could be lost through the loss of tolerance disks.
 func (c *core) toleratesFailures() bool { return len(c.acceptor.View.Chain) > c.tolerance }
 
-// send queues a message until the records decided before it are durable. Messages to this process itself and
-// to an unknown address are dropped.
+// send queues a message until the records queued before it are durable. Messages to this process itself and to
+// an empty address are dropped.
 func (c *core) send(to view.Member, body any) {
 	if to.Address == c.self.Address || to.Address == "" {
 		return
@@ -169,11 +170,11 @@
 	}
 }
 
-// takeRecords returns what must be durable before persisted is called. If snapshot isn't nil, the carrier
-// writes it in place of all that the disk holds, and there are no records.
+// takeRecords returns the records that must be durable before persisted is called. If snapshot isn't nil, there
+// are no records, and the driver replaces the whole contents of the disk by the snapshot.
 //
-// Before that it handles what may have become possible with this batch of inputs (proposals to be sent again,
-// deferred commands, read indexes), so that the records of these share the batch's sync.
+// Before that, takeRecords handles the proposals to be sent again, the deferred commands and the read indexes
+// that this batch of inputs may have unblocked, so that their records share the batch's sync.
 func (c *core) takeRecords() (records [][]byte, snapshot []byte) {
 	if c.requests.resendDue {
 		c.retryRequests()
@@ -188,7 +189,7 @@
 	return records, nil
 }
 
-// takeMessages returns what is to be sent now that all records are durable.
+// takeMessages returns the messages to send now that all records are durable.
 func (c *core) takeMessages() []envelope {
 	messages := c.messages
 	c.messages = nil
@@ -242,8 +243,8 @@
 	}
 }
 
-// reopened returns to what the disk holds after it failed to take what this member had decided. None of that
-// has left the member: the carrier discarded the messages.
+// reopened resets the core to the contents of the disk after the disk refused a write. The state that wasn't
+// written is unknown to other members, because the driver discarded the messages.
 func (c *core) reopened(now time.Duration, recovered *recoveredState) {
 	c.now = now
 	c.loadRecovered(recovered)
@@ -254,11 +255,11 @@
 	c.enterView()
 }
 
-// wasPaused reports whether this process has just resumed after a pause and hasn't ticked since: what it
-// receives may be as old as the pause was long.
+// wasPaused reports whether this process has just resumed after a pause and hasn't ticked since: the messages
+// that it receives may be as old as the pause was long.
 func (c *core) wasPaused() bool { return c.now-c.lastTick > processPauseThreshold }
 
-// tick does what is due by time. It is called every tickInterval.
+// tick performs the periodic work and the time-outs that are due. The driver calls it every tickInterval.
 func (c *core) tick(now time.Duration) {
 	c.now = now
 	if c.wasPaused() {
@@ -268,7 +269,7 @@
 		c.proposer.reasonSince = 0
 	}
 	c.lastTick = now
-	// Ticks jitter: without this slack, a tick that is slightly early would delay the round by a whole tick.
+	// Ticks jitter: without this tolerance, a tick that is slightly early would delay the round by a whole tick.
 	if now-c.lastHeartbeat >= heartbeatInterval-tickInterval/4 {
 		c.lastHeartbeat = now
 		c.sendHeartbeats(false)
@@ -276,12 +277,12 @@
 	}
 	c.discoverView()
 	c.considerReconfiguration()
-	c.pollTick()
+	c.pollIfDue()
 	c.retryRequests()
 	c.checkDeparture()
 }
 
-// persisted is called once all records taken are durable.
+// persisted handles the completion of a write. The driver calls it once all records that it took are durable.
 func (c *core) persisted(now time.Duration) {
 	c.now = now
 	c.durableIndex = c.log.LastIndex()
@@ -290,8 +291,8 @@
 	c.pushLearnerUpdates()
 }
 
-// invariant panics if a condition doesn't hold that the protocol guarantees: going on could lose acknowledged
-// commands.
+// invariant panics if a condition that the protocol guarantees doesn't hold, because continuing could lose
+// acknowledged commands.
 func (c *core) invariant(holds bool, format string, arguments ...any) {
 	if !holds {
 		panic(fmt.Sprintf("replica %s: ", c.self.ID()) + fmt.Sprintf(format, arguments...))
--- a/coord/replica/departure.go
+++ b/coord/replica/departure.go
@@ -4,9 +4,9 @@
 	"time"
 )
 
-// leave starts this member's planned departure from the chain and reports whether the chain can spare it.
-// onDeparted is called once the member is out.
-func (c *core) leave(now time.Duration, onDeparted func()) (spared bool) {
+// leave starts this member's planned departure from the chain. It reports whether the chain is long enough to go on
+// without this member; if not, it does nothing. onDeparted is called once the member has departed.
+func (c *core) leave(now time.Duration, onDeparted func()) (possible bool) {
 	if !c.inChain() {
 		onDeparted()
 		return true
@@ -19,7 +19,8 @@
 	return true
 }
 
-// announceDeparture asks the others, at once, to go on without this member.
+// announceDeparture marks this member as leaving, proposes a view without it if possible, and announces the departure
+// to the other members by heartbeats.
 func (c *core) announceDeparture(now time.Duration) {
 	c.now = now
 	c.leaving = true
@@ -29,9 +30,10 @@
 	c.sendHeartbeats(false)
 }
 
-// checkDeparture calls onDeparted once a departing member is out of the chain and the others have shown that
-// they know, and that they have the complete prefix. Were the process to end earlier, the others would take
-// as long to go on as after a crash, and a member that still fetches the prefix would have one source less.
+// checkDeparture calls onDeparted once a departing member is out of the chain and the others have shown that they
+// know the view without it and have the complete prefix, or departureTimeout is over. If the process ended earlier,
+// the failover would take as long as after a crash, and a member that is still fetching the prefix would have one
+// source less.
 func (c *core) checkDeparture() {
 	if c.onDeparted == nil || c.inChain() {
 		return
@@ -42,8 +44,8 @@
 	}
 }
 
-// othersComplete reports whether all in the chain have shown that they have the complete prefix, in the
-// present epoch or a later one.
+// othersComplete reports whether all other members of the chain have shown that they have the complete prefix of the
+// current epoch or a later one.
 func (c *core) othersComplete() bool {
 	for _, m := range c.acceptor.View.Chain {
 		if p := c.peerOf(m); !m.Same(c.self) && (p.epoch < c.epoch() || !p.prefixComplete) {
--- a/coord/replica/discovery.go
+++ b/coord/replica/discovery.go
@@ -6,7 +6,8 @@
 	"sprucelane.example/sprucelane/coord/view"
 )
 
-// sendView sends the view to a peer that has an older one, at most once in viewSendInterval.
+// sendView sends the current view to a member that has an older one. A known peer is sent it at most once in
+// viewSendInterval.
 func (c *core) sendView(to view.Member) {
 	if c.epoch() == 0 {
 		return
@@ -20,8 +21,8 @@
 	c.send(to, view.Decided{View: c.acceptor.View})
 }
 
-// discoverView queries two of the seeds and voters for the newest view while this node is isolated or knows
-// no view, each time the next two.
+// discoverView queries seeds and voters for the newest view while this node is isolated or knows no view. Each time
+// it queries the next two addresses in turn.
 func (c *core) discoverView() {
 	pause := viewQueryInterval
 	if c.epoch() == 0 {
@@ -45,9 +46,9 @@
 	}
 }
 
-// onIncarnationMismatch is called when a message wasn't sent because another incarnation, m, has taken its
-// addressee's address. It sends m the view: a machine that returns with an empty disk learns the view from
-// the members that still address its previous incarnation.
+// onIncarnationMismatch is called when a message wasn't sent because its addressee's address is now used by another
+// incarnation, m. It sends the view to m, so that a machine that returns with an empty disk learns the view from the
+// members that still address its previous incarnation.
 func (c *core) onIncarnationMismatch(now time.Duration, m view.Member) {
 	c.now = now
 	if c.hasDisk {
@@ -55,8 +56,9 @@
 	}
 }
 
-// isIsolated reports whether this node has no contact with the view that it knows: a chain member doesn't
-// reach a majority of the voters, another node has received nothing from its upstream for suspicionTimeout.
+// isIsolated reports whether this node has lost contact with the view that it knows: a chain member is isolated if it
+// doesn't reach a majority of the voters, any other node if it has received nothing from its upstream for
+// suspicionTimeout.
 func (c *core) isIsolated() bool {
 	if !c.inChain() {
 		return c.now-c.learner.lastContact > suspicionTimeout
--- a/coord/replica/disk.go
+++ b/coord/replica/disk.go
@@ -17,19 +17,18 @@
 	recordAcceptor                 // acceptorRecord
 	recordEntries                  // chain.Entry, by encodeEntries
 	recordInstall                  // installRecord
-	recordProbe                    // no content: written to test whether the disk takes writes
+	recordProbe                    // empty record: written to test whether the disk accepts writes
 )
 
-// The records and the checkpoint are encoded by gob, which matches fields by name: the fields keep their
-// names.
+// The records and the checkpoint are encoded by gob, which matches fields by name, so their fields can't be renamed.
 
-// viewRecord says that a decided view was adopted. It clears the acceptor's state.
+// viewRecord records the adoption of a decided view. It clears the acceptor's state.
 type viewRecord struct {
 	View   view.View
-	Synced uint64 // core.syncedEpoch from here on
+	Synced uint64 // core.syncedEpoch after the adoption
 }
 
-// acceptorRecord is the acceptor's state in the instance that decides the view after Epoch.
+// acceptorRecord records the acceptor's state in the Paxos instance that decides the successor of the view Epoch.
 type acceptorRecord struct {
 	Epoch          uint64
 	Promised       view.ProposalNumber
@@ -37,23 +36,23 @@
 	Accepted       *view.View
 }
 
-// installRecord replaces what follows Common by the prefix of the view's source. One record does it, so that
-// a crash leaves the old log or the new one.
+// installRecord replaces the log entries after Common by the prefix of the view's source. It is a single record, so
+// that after a crash the disk holds either the old log or the new one.
 type installRecord struct {
 	Synced  uint64
 	Common  uint64
 	Entries []chain.Entry
 }
 
-// checkpoint is the whole durable state of a member. It replaces all records before it.
+// checkpoint is the complete durable state of a member. It replaces all earlier records.
 type checkpoint struct {
 	Self      view.Member
 	Durable   view.DurableState
 	Synced    uint64
-	BaseIndex uint64 // of the log
+	BaseIndex uint64 // BaseIndex and BaseEpoch belong to the last entry that was compacted away from the log
 	BaseEpoch uint64
-	Image     chain.Snapshot // at BaseIndex or later
-	Entries   []chain.Entry  // all of the log
+	Image     chain.Snapshot // of the state machine, at BaseIndex or later
+	Entries   []chain.Entry  // all entries of the log
 }
 
 // encodeGob encodes a value of a type that gob supports.
@@ -65,17 +64,17 @@
 	return buffer.Bytes()
 }
 
-// decodeGob decodes data into the value that a pointer points to.
+// decodeGob decodes data into value, which must be a pointer.
 func decodeGob(data []byte, value any) error {
 	return gob.NewDecoder(bytes.NewReader(data)).Decode(value)
 }
 
-// encodeRecord encodes a record of a kind.
+// encodeRecord encodes a record: its kind, followed by the value in gob.
 func encodeRecord(kind byte, value any) []byte {
 	return append([]byte{kind}, encodeGob(value)...)
 }
 
-// encodeEntries encodes entries as lengths and bytes: gob's descriptions of types would be longer than most
+// encodeEntries encodes entries as lengths and bytes, because gob's type descriptions would be longer than most
 // commands.
 func encodeEntries(entries []chain.Entry) []byte {
 	data := []byte{recordEntries}
@@ -92,13 +91,13 @@
 	return data
 }
 
-// entryDecoder decodes what encodeEntries encodes. After an error it returns zero values.
+// entryDecoder decodes the encoding of encodeEntries. After an error it returns zero values.
 type entryDecoder struct {
 	data []byte
 	err  error
 }
 
-// uvarint reads an integer of variable length.
+// uvarint reads an integer in variable-length encoding.
 func (d *entryDecoder) uvarint() uint64 {
 	value, width := binary.Uvarint(d.data)
 	if width <= 0 {
@@ -110,7 +109,7 @@
 	return value
 }
 
-// bytes reads a length and as many bytes, which share memory with data.
+// bytes reads a length and that number of bytes. The result shares memory with data.
 func (d *entryDecoder) bytes() []byte {
 	length := d.uvarint()
 	if length > uint64(len(d.data)) {
@@ -122,7 +121,8 @@
 	return value
 }
 
-// decodeEntries decodes what encodeEntries encodes, without the kind. The entries don't refer to data.
+// decodeEntries decodes the encoding of encodeEntries, without the kind of record. The entries don't share memory
+// with data.
 func decodeEntries(data []byte) ([]chain.Entry, error) {
 	decoder := entryDecoder{data: data}
 	count := decoder.uvarint()
@@ -136,17 +136,17 @@
 	return entries, decoder.err
 }
 
-// recoveredState is what a member finds on its disk at a start.
+// recoveredState is the state that a member recovers from its disk at a start.
 type recoveredState struct {
 	self     view.Member
 	durable  view.DurableState
 	synced   uint64
 	log      *chain.Log
-	snapshot *chain.Snapshot // of the state machine; nil: it is empty
-	repairs  []slots.Finding // truncated tails that a crash left, or damage that looks the same
+	snapshot *chain.Snapshot // of the state machine; nil: the state machine is in its initial state
+	repairs  []slots.Finding // torn tails that were truncated: left by a crash, or by damage that looks the same
 }
 
-// recoverState replays the records of a disk on its checkpoint.
+// recoverState decodes the checkpoint of a disk and replays the records after it.
 func recoverState(snapshot []byte, records [][]byte) (*recoveredState, error) {
 	var saved checkpoint
 	if err := decodeGob(snapshot, &saved); err != nil {
@@ -169,7 +169,7 @@
 	return state, nil
 }
 
-// replay applies a record, as the core did when it queued it.
+// replay applies a record to the state, as the core did when it queued the record.
 func (s *recoveredState) replay(record []byte) error {
 	if len(record) == 0 {
 		return errCorruptRecord
--- a/coord/replica/failure_detector.go
+++ b/coord/replica/failure_detector.go
@@ -8,35 +8,35 @@
 	"sprucelane.example/sprucelane/coord/view"
 )
 
-// peer is what a member knows of another one from its heartbeats.
+// peer is the state that a member keeps about another member, taken from its heartbeats.
 type peer struct {
 	member      view.Member
 	incarnation uint64 // of the peer's process
-	highestSeq  uint64 // highest heartbeat received of that incarnation
+	highestSeq  uint64 // highest Seq of the heartbeats received from that incarnation
 
-	lastContact    time.Duration // when its last heartbeat came
-	lastEcho       time.Duration // when the newest of this member's heartbeats that it echoed was sent
+	lastContact    time.Duration // when its last heartbeat was received
+	lastEcho       time.Duration // sending time of the newest heartbeat of this member that it has echoed
 	reachable      bool          // both directions of the link have worked since reachableSince
 	reachableSince time.Duration
-	confirmedAt    time.Duration // it wasn't wedged in the present epoch at this moment; never: unknown
+	confirmedAt    time.Duration // it wasn't wedged in the current epoch until this moment; never: unknown
 
-	// What its last heartbeat said.
+	// Contents of its last heartbeat.
 	leaving        bool
 	candidate      bool
 	epoch          uint64
-	prefixComplete bool            // in that epoch
-	reaches        map[string]bool // IDs of the members that it reaches
+	prefixComplete bool            // it has the complete prefix of that epoch
+	reaches        map[string]bool // IDs of the voters that it reaches
 
-	viewSent   bool          // the view was sent to it
-	viewSentAt time.Duration // when it was sent last
+	viewSent   bool          // a view was sent to it
+	viewSentAt time.Duration // when a view was last sent to it
 }
 
 // heartbeatWindow is the number of rounds of heartbeats whose sending times are kept for echoes. Without
-// reads they span 12.8 s; each urgent round, which serves all reads that wait, takes one place. An echo of an
-// older round is ignored.
+// reads they span 12.8 s; each urgent round, which serves all waiting reads, also occupies one place. An echo of
+// an older round is ignored.
 const heartbeatWindow = 64
 
-// heartbeatRounds numbers the rounds of heartbeats that this process has sent, and keeps when.
+// heartbeatRounds numbers the rounds of heartbeats that this process has sent, and keeps their sending times.
 type heartbeatRounds struct {
 	seq    uint64
 	sentAt [heartbeatWindow]time.Duration // of round n at n modulo heartbeatWindow
@@ -53,8 +53,8 @@
 	r.sentAt[r.seq%heartbeatWindow] = now
 }
 
-// resetFailureDetector counts every peer as in contact now: at a start, and after a pause of this process,
-// which received nothing meanwhile.
+// resetFailureDetector restarts the time-outs of every peer. It is called at a start, after the disk was reopened,
+// and after a pause of this process, during which it handled no heartbeats.
 func (c *core) resetFailureDetector() {
 	for _, p := range c.peers {
 		p.lastContact = c.now
@@ -67,7 +67,7 @@
 	}
 }
 
-// peerOf returns what is known of m, which counts as in contact now if it is new.
+// peerOf returns the state of peer m. It creates the state if there is none, with time-outs that start now.
 func (c *core) peerOf(m view.Member) *peer {
 	id := m.ID()
 	p := c.peers[id]
@@ -88,8 +88,8 @@
 	return p
 }
 
-// alive reports whether m isn't suspected: its heartbeats come, and echo those of this member, within the
-// time-outs. A member without any heartbeat yet is alive until they have passed.
+// alive reports whether m isn't suspected: its heartbeats arrive, and echo heartbeats of this member, within the
+// time-outs. A new member counts as alive until a time-out has passed without a heartbeat from it.
 func (c *core) alive(m view.Member) bool {
 	if m.Same(c.self) {
 		return true
@@ -98,8 +98,8 @@
 	return p != nil && c.now-p.lastContact <= suspicionTimeout && c.now-p.lastEcho <= echoTimeout
 }
 
-// contact returns what is known of m if the link to it works both ways, else nil. Unlike alive, this excludes
-// a member without any heartbeat yet, and this member itself.
+// contact returns the state of peer m if the link to it works both ways, else nil. Unlike alive, it excludes
+// members from which no heartbeat was received yet, and this member itself.
 func (c *core) contact(m view.Member) *peer {
 	p := c.peers[m.ID()]
 	if p == nil || !p.reachable || !c.alive(m) {
@@ -117,8 +117,8 @@
 	return p != nil && c.now-p.reachableSince >= rejoinDelay
 }
 
-// sinceContact returns the time since the last heartbeat from m; zero for this member itself and for an
-// unknown one, which therefore is never replaced for being unreachable.
+// sinceContact returns the time since the last heartbeat from m. It returns zero for this member itself and for
+// an unknown member, which therefore is never replaced for being unreachable.
 func (c *core) sinceContact(m view.Member) time.Duration {
 	if m.Same(c.self) {
 		return 0
@@ -138,7 +138,7 @@
 	return p != nil && p.leaving
 }
 
-// expireReachability notes which members have become suspected, so that rejoinDelay counts from their return.
+// expireReachability marks suspected members as unreachable, so that rejoinDelay is counted from their return.
 func (c *core) expireReachability() {
 	for _, p := range c.peers {
 		if p.reachable && !c.alive(p.member) {
@@ -147,7 +147,7 @@
 	}
 }
 
-// members lists the machines with a disk that this node knows: the voters, then the candidates.
+// members returns the machines with a disk that this node knows: the voters, then the candidates.
 func (c *core) members() []Peer {
 	list := make([]Peer, 0, len(c.peers)+1)
 	for _, m := range c.acceptor.View.Voters {
@@ -161,8 +161,8 @@
 	return list
 }
 
-// sendHeartbeats starts a round of heartbeats to the voters and, unless it is urgent, from a voter to the
-// candidates. An urgent round asks for answers at once, for a read that waits.
+// sendHeartbeats sends a round of heartbeats to the voters. Unless the round is urgent, a voter also sends them to
+// the candidates. An urgent round requests immediate answers, for reads that are waiting.
 func (c *core) sendHeartbeats(urgent bool) {
 	if !c.hasDisk || c.epoch() == 0 {
 		return
@@ -187,7 +187,7 @@
 	}
 }
 
-// reachableIDs lists the voters that this member reaches.
+// reachableIDs returns the IDs of the voters that this member reaches.
 func (c *core) reachableIDs() []string {
 	var ids []string
 	for _, m := range c.acceptor.View.Voters {
@@ -219,8 +219,8 @@
 	})
 }
 
-// onHeartbeat takes in a peer's heartbeat. It answers an older view with the present one. Beyond that, only
-// those of voters count, and at a voter those of candidates.
+// onHeartbeat handles a heartbeat. It sends the current view to a sender with an older view. Apart from that, it
+// ignores heartbeats, except from voters and, if this member is a voter, from candidates.
 func (c *core) onHeartbeat(from view.Member, m Heartbeat) {
 	if !c.hasDisk {
 		return
@@ -250,16 +250,17 @@
 	}
 }
 
-// onEcho notes that the peer had received this member's round Echo when it sent m. If it was in the present
-// epoch and not wedged then, no successor that it votes on was decided before that round was sent.
+// onEcho handles the echo in a heartbeat: when the peer sent m, it had received this member's round m.Echo. If the
+// peer was in the current epoch and not wedged when it sent m, no successor of the epoch was decided with its vote
+// before that round was sent.
 func (c *core) onEcho(p *peer, m Heartbeat) {
 	if m.EchoLife != c.incarnation || !c.heartbeats.contains(m.Echo) {
 		return
 	}
 	sentAt := c.heartbeats.sentAt[m.Echo%heartbeatWindow]
 	p.lastEcho = max(p.lastEcho, sentAt)
-	// An echo that is itself older than echoTimeout doesn't make the peer alive: rejoinDelay starts anew with
-	// it.
+	// An echo of a round that is older than echoTimeout doesn't make the peer alive: reachableSince moves to now,
+	// and rejoinDelay starts again.
 	if !p.reachable || c.now-p.reachableSince > 0 && !c.alive(p.member) {
 		p.reachable = true
 		p.reachableSince = c.now
--- a/coord/replica/learner.go
+++ b/coord/replica/learner.go
@@ -7,53 +7,54 @@
 	"sprucelane.example/sprucelane/coord/view"
 )
 
-// learnerState is the part of a node outside of the chain: a learner in the sense of Paxos, which polls one
-// chain member for committed commands and doesn't vote.
+// learnerState is the state of a node in its role as a learner. A node outside of the chain is a learner in the
+// sense of Paxos: it polls one chain member, its upstream, for committed commands.
 type learnerState struct {
-	upstream     view.Member // the chain member that it polls
-	upstreamTurn int         // selects the next upstream
-	lastContact  time.Duration
-	pollSeq      uint64
-	polledAt     time.Duration
-	pollSentAt   [pollWindow]time.Duration // of poll n at n modulo pollWindow
+	upstream      view.Member // the chain member that it polls
+	upstreamIndex int         // selects the next upstream: index modulo the length of the chain
+	lastContact   time.Duration
+	pollSeq       uint64
+	polledAt      time.Duration
+	pollSentAt    [pollWindow]time.Duration // of poll n at n modulo pollWindow
 
 	proven      bool
 	currentAsOf time.Duration // all commands acknowledged before this moment are applied here
 }
 
-// pollWindow is the number of polls whose sending times are kept for their answers.
+// pollWindow is the number of latest polls whose sending times are kept until their answers arrive.
 const pollWindow = 64
 
-// newLearnerState draws where in the chain the learner starts, so that learners spread over its members.
+// newLearnerState returns the state of a starting learner. Its first upstream is drawn at random, so that learners
+// are distributed over the members of the chain.
 func newLearnerState(random *rand.Rand) learnerState {
-	const anyTurn = 64 // more than the members of a chain
-	return learnerState{lastContact: never, polledAt: never, upstreamTurn: random.IntN(anyTurn)}
+	const indexRange = 64 // greater than the length of any chain
+	return learnerState{lastContact: never, polledAt: never, upstreamIndex: random.IntN(indexRange)}
 }
 
-// upstreamAlive reports whether the upstream has answered lately.
+// upstreamAlive reports whether the upstream has answered within suspicionTimeout.
 func (l *learnerState) upstreamAlive(now time.Duration) bool {
 	return !l.upstream.IsZero() && now-l.lastContact <= suspicionTimeout
 }
 
-// learnerProgress is what a chain member knows of a learner that polls it.
+// learnerProgress is the state that a chain member keeps about a learner that polls it.
 type learnerProgress struct {
 	member    view.Member
-	sentIndex uint64 // last command that it has applied, or will have once all that was sent has arrived
+	sentIndex uint64 // last command that it has applied or was sent
 	polledAt  time.Duration
 }
 
-// pollTick polls the upstream, from outside of the chain, and turns to the next chain member if it doesn't
-// answer.
-func (c *core) pollTick() {
+// pollIfDue polls the upstream if this node is outside of the chain and a poll is due. If the upstream has left the
+// chain or doesn't answer, the next chain member becomes the upstream.
+func (c *core) pollIfDue() {
 	if c.epoch() == 0 || c.inChain() || c.now-c.learner.polledAt < learnerPollInterval-tickInterval/2 {
 		return
 	}
 	chainMembers := c.acceptor.View.Chain
 	if view.Index(chainMembers, c.learner.upstream) < 0 || c.now-c.learner.lastContact > suspicionTimeout {
 		if !c.learner.upstream.IsZero() && c.learner.polledAt != never {
-			c.learner.upstreamTurn++
+			c.learner.upstreamIndex++
 		}
-		c.learner.upstream = chainMembers[c.learner.upstreamTurn%len(chainMembers)]
+		c.learner.upstream = chainMembers[c.learner.upstreamIndex%len(chainMembers)]
 	}
 	c.poll()
 }
@@ -68,8 +69,9 @@
 	c.send(c.learner.upstream, poll)
 }
 
-// onLearnerUpdate applies committed commands that the learner lacks. Updates may be lost, repeated and
-// reordered: only the next command is applied, and the next poll tells the upstream where to continue.
+// onLearnerUpdate applies committed commands that the learner lacks. Updates may be lost, duplicated and reordered:
+// a command is applied only if it follows the last applied one, and the next poll reports to the upstream the index
+// from which to continue.
 func (c *core) onLearnerUpdate(from view.Member, m LearnerUpdate) {
 	if c.inChain() {
 		return
@@ -88,12 +90,13 @@
 		}
 	}
 	c.commitIndex = max(c.commitIndex, applied)
-	c.noteStaleness(m, applied)
+	c.updateStaleness(m, applied)
 }
 
-// noteStaleness notes what an update proves: what was acknowledged before the poll was sent, less the age of
-// the upstream's own proof, is applied here. Both durations are differences on one clock each.
-func (c *core) noteStaleness(m LearnerUpdate, applied uint64) {
+// updateStaleness updates the staleness proof from an answer to a poll. The update proves that all commands which were
+// acknowledged before asOf are applied here, where asOf is the sending time of the poll minus the age of the
+// upstream's own proof. Each of the two durations is measured on a single clock.
+func (c *core) updateStaleness(m LearnerUpdate, applied uint64) {
 	l := &c.learner
 	if !m.Fresh || m.Life != c.incarnation || m.Seq > l.pollSeq || l.pollSeq-m.Seq >= pollWindow {
 		return
@@ -107,8 +110,8 @@
 	}
 }
 
-// onLearnerPoll answers a poll with the commands that the learner lacks. If they reach up to what is applied
-// here, the answer carries the age of this member's own proof.
+// onLearnerPoll answers a poll with the commands that the learner lacks. If the answer covers all commands applied
+// on this member, it carries the age of this member's own staleness proof.
 func (c *core) onLearnerPoll(from view.Member, m LearnerPoll) {
 	if m.Epoch < c.epoch() {
 		c.send(from, view.Decided{View: c.acceptor.View})
@@ -128,7 +131,7 @@
 	c.send(from, *update)
 }
 
-// nextLearnerUpdate returns the next commands that a learner lacks, or a snapshot if they are compacted away.
+// nextLearnerUpdate returns the next commands that a learner lacks, or a snapshot if these are compacted away.
 func (c *core) nextLearnerUpdate(progress *learnerProgress) *LearnerUpdate {
 	applied, _ := c.state.Applied()
 	base, _ := c.log.Base()
@@ -148,7 +151,8 @@
 	return update
 }
 
-// pushLearnerUpdates sends what was just applied to the learners that poll this member.
+// pushLearnerUpdates sends newly applied commands to the learners that poll this member. It drops learners that
+// haven't polled within learnerTimeout.
 func (c *core) pushLearnerUpdates() {
 	if len(c.learners) == 0 {
 		return
--- a/coord/replica/lease.go
+++ b/coord/replica/lease.go
@@ -7,7 +7,7 @@
 	"sprucelane.example/sprucelane/coord/view"
 )
 
-// stalenessProof bounds how stale this chain member's state is.
+// stalenessProof bounds the staleness of this chain member's state.
 type stalenessProof struct {
 	pending      bool          // a newer proof waits until this member has applied up to pendingIndex
 	pendingAsOf  time.Duration // no successor of the epoch was decided before this moment
@@ -17,11 +17,11 @@
 	currentAsOf time.Duration // all commands acknowledged before this moment are applied here
 }
 
-// confirmEpoch finds the latest moment at which a majority of the voters was in the present epoch and not
-// wedged. No successor of the epoch was decided before it: a decision takes prepare responses of a majority,
-// and two majorities share a member. So all that was acknowledged before the moment was committed in this
-// epoch or an earlier one, and is in the log of this member, which has the complete prefix. Reads, the
-// staleness bound and the leader lease rest on it.
+// confirmEpoch updates epochConfirmedAt to the latest moment at which a majority of the voters was in the current
+// epoch and not wedged. No successor of the epoch was decided before that moment, because a decision requires
+// prepare responses of a majority, and two majorities share a member. Therefore every command acknowledged before
+// that moment was committed in this epoch or an earlier one, and is in the log of this member, which has the
+// complete prefix. Reads, the staleness bound and the leader lease depend on this.
 func (c *core) confirmEpoch() {
 	if c.acceptor.Wedged() || !c.inChain() || c.syncedEpoch != c.epoch() {
 		return
@@ -49,8 +49,8 @@
 	c.completeStalenessProof()
 }
 
-// resetEpochConfirmation drops the confirmations of the previous epoch. A sole voter confirms the new one by
-// itself.
+// resetEpochConfirmation discards the confirmations of the previous epoch. A sole voter confirms the new epoch
+// without messages.
 func (c *core) resetEpochConfirmation() {
 	c.staleness.pending = false
 	c.epochConfirmedAt = never
@@ -62,7 +62,7 @@
 	}
 }
 
-// completeStalenessProof completes the pending proof once everything up to its index is applied.
+// completeStalenessProof completes the pending proof once all commands up to its index are applied.
 func (c *core) completeStalenessProof() {
 	applied, _ := c.state.Applied()
 	if !c.staleness.pending || applied < c.staleness.pendingIndex {
@@ -73,8 +73,9 @@
 	c.staleness.currentAsOf = max(c.staleness.currentAsOf, c.staleness.pendingAsOf)
 }
 
-// currentAsOf returns the moment before which every acknowledged command is applied here: that of this
-// member's own proof, or of a learner's last update.
+// currentAsOf returns the latest moment known to this node such that every command acknowledged before it is applied
+// here. It comes from a proof as a chain member or from an update as a learner. The second result is false if there
+// is neither.
 func (c *core) currentAsOf() (time.Duration, bool) {
 	asOf := never
 	if c.staleness.proven {
@@ -86,10 +87,10 @@
 	return asOf, asOf != never
 }
 
-// delayNewLeader sets from when on a new head may hold the leader lease. A head that stays the head over
-// successive epochs keeps its lease, since there was no other head between. A process also waits after its
-// start (newCore): to the lease, the previous process with this disk is another head, though the view doesn't
-// tell the two apart.
+// delayNewLeader sets the time before which a new head may not hold the leader lease. A member that is the head of
+// two successive epochs keeps its lease, since there was no other head in between. A process also waits after its
+// start (newCore): with regard to the lease, the previous process with this disk is a different head, although the
+// view doesn't distinguish the two.
 func (c *core) delayNewLeader(previous, v view.View) {
 	if !v.Head().Same(c.self) {
 		return
@@ -100,21 +101,21 @@
 	}
 }
 
-// leaderLease returns until when this member, as the head, holds the leader lease (Gray and Cheriton, 1989):
-// no other head acts before.
+// leaderLease returns the moment until which this member, as the head, holds the leader lease (Gray and Cheriton,
+// 1989): no other head acts before it.
 //
-// It is safe because the lease counts from the sending of the heartbeats that a majority answered, at t. A
-// successor of the epoch is decided after t (see confirmEpoch), and its head waits newLeaderDelay from its
-// adoption of the view. This lease ends at t + leaderLeaseDuration, which is earlier, as long as no clock
-// runs faster than another by the quotient of the two durations. Moments of different machines are never
+// The lease is safe because it starts at t, the sending time of the heartbeats that a majority answered. A
+// successor of the epoch is decided after t (see confirmEpoch), and its head waits for newLeaderDelay from its
+// adoption of the view. This lease ends at t + leaderLeaseDuration, which is earlier as long as no clock runs faster
+// than another by a factor of newLeaderDelay / leaderLeaseDuration or more. Times of different machines are never
 // compared.
 func (c *core) leaderLease() (until time.Duration, ok bool) {
 	until, ok = c.headLease()
 	return until, ok && c.now >= c.leaseNotBefore
 }
 
-// headLease returns until when no successor of this member's epoch acts, if this member is the head. An
-// earlier head may still hold the leader lease.
+// headLease returns the moment until which the head of no later epoch acts, if this member is the head of its epoch.
+// An earlier head may still hold the leader lease.
 func (c *core) headLease() (until time.Duration, ok bool) {
 	if !c.serving() || !c.isHead() || c.leaving || c.epochConfirmedAt == never {
 		return 0, false
--- a/coord/replica/limits.go
+++ b/coord/replica/limits.go
@@ -4,32 +4,34 @@
 	"sprucelane.example/sprucelane/coord/chain"
 )
 
-// Default sizes of what a core keeps and sends.
+// Default limits of a core: see limits.
 const (
 	defaultBatchBytes       = 256 << 10 // bytes
 	defaultRetainedLogBytes = 256 << 10 // bytes
 	defaultMaxUncommitted   = 8192      // commands
 )
 
-// checkpointLogBytes is the size of the log on disk, in bytes, from which on a carrier asks for a checkpoint.
-// A larger one writes fewer checkpoints, and replays more at a start.
+// checkpointLogBytes is the size of the log on disk, in bytes, above which a driver requests a checkpoint. A
+// larger value causes fewer checkpoints, and longer replays at a start.
 const checkpointLogBytes = 1 << 20
 
-// limits bound what a core keeps and sends at once. All members of a system have the same: which commands are
-// duplicates is part of the replicated state.
+// limits bound the state that a core retains and the size of its messages. All members of a system use the same
+// limits, because the set of commands recognized as duplicates is part of the replicated state.
 type limits struct {
-	// batchBytes is about how many bytes of commands one message carries; it carries at least one command.
+	// batchBytes is the approximate number of bytes of commands in one message. A message with commands has at
+	// least one.
 	batchBytes int
-	// retainedLogBytes is how many bytes of applied commands the log retains at a checkpoint. A member that
-	// returns and lacks no more than these is sent commands; one that lacks more is sent a snapshot.
+	// retainedLogBytes is the number of bytes of applied commands that the log retains at a checkpoint. A
+	// returning member that lacks only retained commands is sent these commands; a member that lacks more is
+	// sent a snapshot.
 	retainedLogBytes int
-	// maxUncommitted is the number of commands beyond the applied ones at which the head admits no more.
+	// maxUncommitted is the number of unapplied commands in the log at which the head admits no more.
 	maxUncommitted int
-	// deduplicationWindow is the number of the latest command IDs whose outcomes are kept.
+	// deduplicationWindow is the number of latest command IDs whose outcomes are kept.
 	deduplicationWindow int
 }
 
-// defaultLimits are the limits of all nodes that Start returns; only simulations use others.
+// defaultLimits are the limits of all nodes that Start returns. Only simulations use other limits.
 var defaultLimits = limits{
 	batchBytes:          defaultBatchBytes,
 	retainedLogBytes:    defaultRetainedLogBytes,
--- a/coord/replica/messages.go
+++ b/coord/replica/messages.go
@@ -6,16 +6,16 @@
 	"sprucelane.example/sprucelane/coord/view"
 )
 
-// The messages between nodes. gob matches fields by name: the fields keep their names, also those that the
-// literature calls otherwise. Life is the incarnation of a process, drawn at its start.
+// The messages between nodes. gob matches fields by name, so the fields keep their names even where the literature
+// uses other terms. Life is the incarnation of a process, a random number drawn at its start.
 
 // ViewQuery asks for the newest view.
 type ViewQuery struct {
-	Epoch uint64 // newest one that the sender knows
+	Epoch uint64 // epoch of the newest view that the sender knows
 }
 
 // Heartbeat shows that its sender is alive, and echoes the newest heartbeat received from the addressee. The
-// echo shows that the link works both ways, and confirms the epoch without a message of its own.
+// echo shows that the link works both ways, and confirms the epoch without a separate message.
 type Heartbeat struct {
 	Life      uint64 // incarnation of the sender's process
 	Seq       uint64 // round of heartbeats of that incarnation
@@ -24,18 +24,18 @@
 	Epoch     uint64
 	Whole     bool     // the sender's log has the complete prefix of Epoch
 	Wedged    bool     // the sender has answered a prepare in Epoch
-	Leaving   bool     // the sender departs as planned
-	Candidate bool     // the sender has a disk and no vote, and asks for one
-	Urgent    bool     // answer at once: a read waits
-	Heard     []string // IDs of the voters that the sender reaches, both ways
+	Leaving   bool     // the sender is in a planned departure
+	Candidate bool     // the sender has a disk but no vote, and asks for a vote
+	Urgent    bool     // the receiver answers at once, because a read is waiting
+	Heard     []string // IDs of the voters to which the sender's link works both ways
 }
 
 // Append carries commands down the chain. A member sends it only while it and all its predecessors have the
-// complete prefix of Epoch; without entries, it says just that.
+// complete prefix of Epoch. An Append without entries only reports this.
 type Append struct {
 	Epoch     uint64
 	Prev      uint64 // index of the command before Entries
-	PrevEpoch uint64 // and its epoch
+	PrevEpoch uint64 // epoch of the command at Prev
 	Entries   []chain.Entry
 }
 
@@ -45,11 +45,11 @@
 	End    uint64 // last command on the sender's disk
 	Commit uint64 // last command known to be on all disks of the chain
 	Whole  bool   // the sender and all its predecessors have the complete prefix
-	Gap    bool   // the sender lacks what follows End
+	Gap    bool   // the sender lacks the commands after End and has received later ones
 }
 
-// AckRequest asks the successor for an Ack. The one that the successor sends at the start of an epoch is lost
-// if its predecessor hasn't adopted the view yet.
+// AckRequest asks the successor for an Ack, because the Ack that the successor sends at the start of an epoch is
+// lost if its predecessor hasn't adopted the view yet.
 type AckRequest struct {
 	Epoch uint64
 }
@@ -57,13 +57,13 @@
 // PrefixRequest asks the source of a view for the prefix: all commands before Epoch.
 type PrefixRequest struct {
 	Epoch uint64
-	Runs  []chain.EpochRun // of the sender's log
+	Runs  []chain.EpochRun // describe the sender's log
 }
 
-// PrefixTransfer carries the source's prefix: the entries after Common, or after a snapshot.
+// PrefixTransfer carries the source's prefix: the entries after Common, or a snapshot and the entries after it.
 type PrefixTransfer struct {
 	Epoch   uint64
-	Common  uint64 // last index at which both logs agree, or that of the snapshot
+	Common  uint64 // last index at which both logs agree, or the index of the snapshot
 	Image   *chain.Snapshot
 	Entries []chain.Entry
 }
@@ -72,8 +72,8 @@
 type Forward struct {
 	ID    string
 	Order []byte // the command
-	Hops  int    // how often it was forwarded before
-	Epoch uint64 // the newest that the node knew where the command was proposed
+	Hops  int    // number of times that the command was forwarded before
+	Epoch uint64 // newest epoch known to the node at which the command was proposed
 	Since uint64 // the command wasn't applied at or below this index
 }
 
@@ -85,18 +85,18 @@
 	Applied uint64 // last index that the learner has applied
 }
 
-// LearnerUpdate carries committed commands to a learner: as the answer to a poll, or as a push.
+// LearnerUpdate carries committed commands to a learner, as the answer to a poll or as a push.
 type LearnerUpdate struct {
-	Life    uint64 // of the poll that is answered; 0: a push
-	Seq     uint64 // of the poll
+	Life    uint64 // Life of the answered poll; 0: a push
+	Seq     uint64 // Seq of the answered poll
 	Fresh   bool   // AgeNano is valid
-	AgeNano int64  // ns: all acknowledged longer ago than this is in the update or before it
-	Prev    uint64 // index before Entries, or that of the snapshot
+	AgeNano int64  // ns: all commands acknowledged longer ago than this are in the update or precede it
+	Prev    uint64 // index before Entries, or the index of the snapshot
 	Image   *chain.Snapshot
 	Entries []chain.Entry
 }
 
-// lastIndex returns the index up to which a learner has applied once it has applied the update.
+// lastIndex returns the last index that the update covers.
 func (u *LearnerUpdate) lastIndex() uint64 {
 	if u.Image != nil {
 		return u.Image.Index
@@ -110,38 +110,38 @@
 	Seq  uint64 // number of the read
 }
 
-// ReadIndexReply carries the index up to which the learner must have applied.
+// ReadIndexReply carries the index that the learner must have applied before the read completes.
 type ReadIndexReply struct {
 	Life  uint64
 	Seq   uint64
 	Index uint64
 }
 
-// wireTypes lists the types of messages with their names on the wire, which stay when a type is renamed or
-// moved.
+// wireTypes returns the message types with their names on the wire. The names on the wire don't change when a
+// type is renamed or moved.
 func wireTypes() []transport.NamedType {
 	const (
-		here   = "sprucelane.example/sprucelane/coord/replica."
-		inView = "sprucelane.example/sprucelane/coord/view."
+		replicaPackage = "sprucelane.example/sprucelane/coord/replica."
+		viewPackage    = "sprucelane.example/sprucelane/coord/view."
 	)
 	return []transport.NamedType{
-		{Name: here + "Hello", Sample: ViewQuery{}},
-		{Name: here + "Heartbeat", Sample: Heartbeat{}},
-		{Name: here + "Append", Sample: Append{}},
-		{Name: here + "Ack", Sample: Ack{}},
-		{Name: here + "Resume", Sample: AckRequest{}},
-		{Name: here + "Fetch", Sample: PrefixRequest{}},
-		{Name: here + "Copy", Sample: PrefixTransfer{}},
-		{Name: here + "Forward", Sample: Forward{}},
-		{Name: here + "Poll", Sample: LearnerPoll{}},
-		{Name: here + "Feed", Sample: LearnerUpdate{}},
-		{Name: here + "ReadRequest", Sample: ReadIndexRequest{}},
-		{Name: here + "ReadReply", Sample: ReadIndexReply{}},
-		{Name: inView + "Prepare", Sample: view.Prepare{}},
-		{Name: inView + "Promise", Sample: view.PrepareResponse{}},
-		{Name: inView + "Accept", Sample: view.Accept{}},
-		{Name: inView + "Accepted", Sample: view.AcceptResponse{}},
-		{Name: inView + "Refused", Sample: view.Reject{}},
-		{Name: inView + "Decided", Sample: view.Decided{}},
+		{Name: replicaPackage + "Hello", Sample: ViewQuery{}},
+		{Name: replicaPackage + "Heartbeat", Sample: Heartbeat{}},
+		{Name: replicaPackage + "Append", Sample: Append{}},
+		{Name: replicaPackage + "Ack", Sample: Ack{}},
+		{Name: replicaPackage + "Resume", Sample: AckRequest{}},
+		{Name: replicaPackage + "Fetch", Sample: PrefixRequest{}},
+		{Name: replicaPackage + "Copy", Sample: PrefixTransfer{}},
+		{Name: replicaPackage + "Forward", Sample: Forward{}},
+		{Name: replicaPackage + "Poll", Sample: LearnerPoll{}},
+		{Name: replicaPackage + "Feed", Sample: LearnerUpdate{}},
+		{Name: replicaPackage + "ReadRequest", Sample: ReadIndexRequest{}},
+		{Name: replicaPackage + "ReadReply", Sample: ReadIndexReply{}},
+		{Name: viewPackage + "Prepare", Sample: view.Prepare{}},
+		{Name: viewPackage + "Promise", Sample: view.PrepareResponse{}},
+		{Name: viewPackage + "Accept", Sample: view.Accept{}},
+		{Name: viewPackage + "Accepted", Sample: view.AcceptResponse{}},
+		{Name: viewPackage + "Refused", Sample: view.Reject{}},
+		{Name: viewPackage + "Decided", Sample: view.Decided{}},
 	}
 }
--- a/coord/replica/network.go
+++ b/coord/replica/network.go
@@ -13,7 +13,7 @@
 const (
 	// maxFrameBytes bounds one message. A snapshot of the state machine must fit into it.
 	maxFrameBytes = 64 << 20
-	// sendQueueLength is the number of messages that wait for one connection; further ones are lost.
+	// sendQueueLength is the number of messages that may be queued for one connection; further ones are dropped.
 	sendQueueLength = 4096
 	// idleTimeout is the time after which a connection on which nothing was sent is closed.
 	idleTimeout = 10 * time.Second
@@ -23,8 +23,8 @@
 
 func init() { transport.RegisterNamed(wireTypes()...) }
 
-// network carries a node's messages. Voters are dialled; all others are answered over the connection that
-// they opened, as they may be unreachable from here.
+// network sends and receives a node's messages. It dials voters. Messages to other members are sent over the
+// connection that these members opened, because they may be unreachable from this node.
 type network struct {
 	node    *Node
 	options transport.Options
@@ -34,7 +34,7 @@
 	sweptAt  time.Time            // used by the loop only
 
 	sessionsMu sync.Mutex
-	sessions   map[string]*transport.Session // open, the newest by member ID; guarded by sessionsMu
+	sessions   map[string]*transport.Session // newest open session by member ID; guarded by sessionsMu
 }
 
 // outbound is a connection that this node opened.
@@ -44,7 +44,7 @@
 	usedAt time.Time
 }
 
-// newNetwork returns the network of a member. Its server starts with serve.
+// newNetwork returns the network of a member. It accepts connections only after serve is called.
 func newNetwork(n *Node, member view.Member) *network {
 	identity := n.options.Identity
 	identity.Address = member.Address
@@ -63,7 +63,7 @@
 	}
 }
 
-// memberOf returns the member that an identity of the transport belongs to.
+// memberOf returns the member with a transport identity.
 func memberOf(identity transport.Identity) view.Member {
 	return view.Member{Node: identity.Node, Address: identity.Address, Incarnation: identity.Incarnation}
 }
@@ -73,7 +73,7 @@
 	n.server = transport.Serve(listener, n.options, n.handle)
 }
 
-// handle takes in a message of a session that the other side opened.
+// handle handles a message of a session that the other side opened.
 func (n *network) handle(_ context.Context, session *transport.Session, message any) (any, error) {
 	from := memberOf(session.Remote())
 	n.rememberSession(from, session)
@@ -81,12 +81,12 @@
 	return nil, nil
 }
 
-// receive hands a message to the loop. It blocks while the loop is behind, which slows the sender down.
+// receive queues a message for the loop. It blocks while the queue of the loop is full, which slows down the sender.
 func (n *network) receive(from view.Member, message any) {
 	_ = n.node.enqueue(context.Background(), func() { n.node.core.step(n.node.now(), from, message) })
 }
 
-// rememberSession keeps the session over which a member is answered, until it closes.
+// rememberSession keeps the session, until it closes, for sending messages to the member.
 func (n *network) rememberSession(from view.Member, session *transport.Session) {
 	n.sessionsMu.Lock()
 	defer n.sessionsMu.Unlock()
@@ -104,7 +104,7 @@
 	}()
 }
 
-// send sends a message, or drops it if it can't be sent now: the protocol retransmits what it needs.
+// send sends a message, or drops it if it can't be sent now: the protocol retransmits messages that it needs.
 func (n *network) send(m envelope) {
 	if m.to.Incarnation != "" && !n.node.core.view().IsVoter(m.to) {
 		n.sessionsMu.Lock()
@@ -118,9 +118,9 @@
 	n.sendOutbound(m)
 }
 
-// sendOutbound sends a message over a connection that this node opens, and opens one if there is none:
-// messages are dropped until it is open. A message to a member whose address another incarnation has taken is
-// dropped, too.
+// sendOutbound sends a message over a connection that this node opens. If there is none, it starts to open one.
+// Messages are dropped until the connection is open. A message to a member whose address is now used by another
+// incarnation is dropped, too.
 func (n *network) sendOutbound(m envelope) {
 	out := n.outbound[m.to.Address]
 	if out == nil {
@@ -141,8 +141,8 @@
 	_ = out.client.Send(m.body)
 }
 
-// onPush returns the handler of messages that come back over a connection that this node opened. The handler
-// may run before NewClient has returned, so it waits until out.client is set.
+// onPush returns the handler of messages that the other side sends over a connection that this node opened. The
+// handler may run before NewClient has returned, so it waits until out.client is set.
 func (n *network) onPush(out *outbound) func(any) {
 	return func(message any) {
 		<-out.ready
--- a/coord/replica/node.go
+++ b/coord/replica/node.go
@@ -10,21 +10,21 @@
 const (
 	// inputQueueLength is the number of inputs that may wait for the loop before their senders block.
 	inputQueueLength = 1024
-	// maxBatchedInputs bounds the inputs that share one sync. A larger batch saves syncs and delays the first
-	// of it.
+	// maxBatchedInputs bounds the number of inputs that share one sync. A larger batch saves syncs, but delays
+	// its first inputs.
 	maxBatchedInputs = 512
 	// learnerTickInterval is the time between ticks of a node without a disk, which has less to do.
 	learnerTickInterval = 250 * time.Millisecond
 )
 
-// Node is one process's part of the replicated state: it carries a core with sockets, a disk and the steady
-// clock. All of the core runs on one goroutine, the loop; other goroutines reach it through inputs, and see
-// the status.
+// Node is one process's replica of the state: it drives a core with sockets, a disk and the monotonic clock. The core
+// runs on a single goroutine, the loop. Other goroutines pass functions to the loop through inputs, and read the
+// published status.
 type Node struct {
-	options  Options
-	start    time.Time     // zero of the core's clock
-	inputs   chan func()   // executed by the loop
-	drawnIDs atomic.Uint64 // command IDs drawn by Propose
+	options      Options
+	start        time.Time     // time zero of the core's clock
+	inputs       chan func()   // executed by the loop
+	generatedIDs atomic.Uint64 // command IDs drawn by Propose
 
 	closeOnce sync.Once
 	closing   chan struct{} // closed by Close
@@ -35,7 +35,7 @@
 	core          *core
 	store         durableStore // nil: no disk
 	network       *network
-	diskUnhealthy bool // the disk refused a write
+	diskUnhealthy bool // the disk has refused a write and isn't reopened yet
 	nextDiskProbe time.Time
 	members       []Peer // as of the last tick
 
@@ -44,7 +44,7 @@
 	callbackMu sync.Mutex // held to replace callbacks
 }
 
-// now returns the time of the core: a steady clock that starts with the process.
+// now returns the time on the core's clock: the monotonic time since the start of the node.
 func (n *Node) now() time.Duration { return time.Since(n.start) }
 
 // run is the loop. It handles messages, calls and ticks, a batch at a time.
@@ -70,7 +70,7 @@
 	}
 }
 
-// tick has the core tick, unless the disk still refuses writes.
+// tick calls core.tick, unless the disk still refuses writes.
 func (n *Node) tick() {
 	if n.diskUnhealthy && !n.probeDisk() {
 		return
@@ -80,7 +80,7 @@
 	n.members = n.core.members()
 }
 
-// runBatch handles an input and those that wait behind it, so that they share one sync.
+// runBatch executes an input and those queued behind it, so that they share one sync.
 func (n *Node) runBatch(input func()) {
 	input()
 	for i := 1; i < maxBatchedInputs; i++ {
@@ -113,7 +113,7 @@
 	}
 }
 
-// write makes records durable, or a snapshot in their place.
+// write makes the records durable, or the snapshot if it isn't nil.
 func (n *Node) write(records [][]byte, snapshot []byte) error {
 	if n.store == nil {
 		return nil
@@ -127,8 +127,7 @@
 	return n.store.Append(records...)
 }
 
-// enqueue hands an input to the loop. It blocks while the queue is full, for instance because the disk
-// stalls.
+// enqueue queues an input for the loop. It blocks while the queue is full, for instance because the disk stalls.
 func (n *Node) enqueue(ctx context.Context, run func()) error {
 	select {
 	case n.inputs <- run:
@@ -140,7 +139,7 @@
 	}
 }
 
-// runOnLoop has the loop run a function and waits for its end.
+// runOnLoop runs a function on the loop and waits until it has returned.
 func (n *Node) runOnLoop(ctx context.Context, run func()) error {
 	finished := make(chan struct{})
 	if err := n.enqueue(ctx, func() { run(); close(finished) }); err != nil {
--- a/coord/replica/prefix.go
+++ b/coord/replica/prefix.go
@@ -7,15 +7,15 @@
 	"sprucelane.example/sprucelane/coord/view"
 )
 
-// requestPrefix asks the view's source for the prefix, with a description of this log, so that only the
-// difference is sent.
+// requestPrefix requests the prefix from the view's source. The request describes this member's log, so that the
+// source sends only the difference.
 func (c *core) requestPrefix() {
 	c.replication.prefixRequestedAt = c.now
 	c.send(c.acceptor.View.Source, PrefixRequest{Epoch: c.epoch(), Runs: c.log.EpochRuns()})
 }
 
-// onPrefixRequest sends the prefix: the entries after the last common one, or a snapshot where the logs have
-// no common part that is still retained.
+// onPrefixRequest sends the prefix: the entries after the last common index, or a snapshot and the entries after it
+// if the logs have no common part that is still retained.
 func (c *core) onPrefixRequest(from view.Member, m PrefixRequest) {
 	if m.Epoch < c.epoch() {
 		c.sendView(from)
@@ -30,8 +30,8 @@
 		return
 	}
 	if applied, _ := c.state.Applied(); applied > end {
-		// A command of this epoch is applied here, so the whole chain had the prefix: the request is
-		// outdated.
+		// A command of this epoch is applied on this member, so the whole chain already has the prefix, and the
+		// request is outdated.
 		return
 	}
 	snapshot := c.state.Snapshot()
@@ -43,7 +43,7 @@
 	})
 }
 
-// prefixEnd returns the index of the last command before the present epoch.
+// prefixEnd returns the index of the last command before the current epoch.
 func (c *core) prefixEnd() uint64 {
 	end := c.log.LastIndex()
 	base, _ := c.log.Base()
@@ -56,7 +56,7 @@
 	return end
 }
 
-// entriesBetween returns the entries after one index, up to another.
+// entriesBetween returns the entries after the index after, up to and including the index end.
 func (c *core) entriesBetween(after, end uint64) []chain.Entry {
 	entries := c.log.After(after, math.MaxInt)
 	if excess := after + uint64(len(entries)); excess > end {
@@ -65,9 +65,9 @@
 	return entries
 }
 
-// onPrefixTransfer replaces the end of the log by the prefix of the source. It is one record, or a
-// checkpoint: after a crash the disk holds the old log or the complete prefix, never a part of each. A wedged
-// member refuses it, because its prepare response has described its log.
+// onPrefixTransfer replaces the end of the log by the prefix of the source. The change is written as a single record
+// or as a checkpoint, so that after a crash the disk holds either the old log or the complete prefix, never a mix of
+// both. A wedged member ignores the transfer, because its prepare response has described its log.
 func (c *core) onPrefixTransfer(from view.Member, m PrefixTransfer) {
 	if m.Epoch != c.epoch() || !c.inChain() || c.syncedEpoch == c.epoch() || c.acceptor.Wedged() {
 		return
@@ -91,7 +91,7 @@
 	c.checkLogInvariants()
 }
 
-// installSnapshot replaces the log by one that starts after a snapshot.
+// installSnapshot restores the snapshot of a transfer and replaces the log by the entries after it.
 func (c *core) installSnapshot(m PrefixTransfer) {
 	c.log = chain.NewLog(m.Image.Index, m.Image.Epoch, m.Entries)
 	c.restoreSnapshot(m.Image)
@@ -99,28 +99,28 @@
 	c.records = nil
 }
 
-// restoreSnapshot advances the state machine to a snapshot, unless it has already applied as much. All that a
-// snapshot holds is committed: it was taken of applied commands. A snapshot that the state machine can't
-// restore, of another version of it for instance, ends the process: this member can't follow the others any
-// more.
+// restoreSnapshot advances the state machine to a snapshot, unless it has already applied as many commands. All
+// commands in a snapshot are committed, because a snapshot covers applied commands only. If the state machine can't
+// restore the snapshot, for instance because another version of it wrote the snapshot, restoreSnapshot panics,
+// because this member can no longer follow the others.
 func (c *core) restoreSnapshot(snapshot *chain.Snapshot) {
 	applied, _ := c.state.Applied()
 	if snapshot.Index <= applied {
 		return
 	}
 	if err := c.state.Restore(*snapshot); err != nil {
-		panic("replica: " + err.Error())
+		panic("replica: restore a snapshot: " + err.Error())
 	}
 	c.commitIndex = max(c.commitIndex, snapshot.Index)
 	c.completeRestored(applied)
 }
 
-// checkLogInvariants checks that a new prefix contains what is applied and committed here.
+// checkLogInvariants checks that a new prefix contains all commands that are applied or committed on this member.
 func (c *core) checkLogInvariants() {
-	c.invariant(c.log.LastIndex() >= c.commitIndex, "log ends at %d, committed to %d", c.log.LastIndex(), c.commitIndex)
+	c.invariant(c.log.LastIndex() >= c.commitIndex, "log ends at %d, commit index is %d", c.log.LastIndex(), c.commitIndex)
 	applied, appliedEpoch := c.state.Applied()
 	if logEpoch, ok := c.log.EpochAt(applied); ok {
-		c.invariant(logEpoch == appliedEpoch, "entry %d is of epoch %d, applied was one of %d",
+		c.invariant(logEpoch == appliedEpoch, "entry %d has epoch %d, but the applied command had epoch %d",
 			applied, logEpoch, appliedEpoch)
 	}
 }
--- a/coord/replica/proposals.go
+++ b/coord/replica/proposals.go
@@ -8,11 +8,11 @@
 	"sprucelane.example/sprucelane/coord/view"
 )
 
-// pendingRequests are the proposals and reads of this node's callers that aren't complete, and what waits for
-// others.
+// pendingRequests are the incomplete proposals and reads of this node's callers, and the deferred commands and reads
+// of other nodes.
 type pendingRequests struct {
 	proposals map[string]*pendingProposal // by command ID
-	resendDue bool                        // the route to the head may have changed: send all again
+	resendDue bool                        // the route to the head may have changed: send all proposals again
 	deferred  []deferredCommand           // at most maxDeferred
 	reads     []*pendingRead
 	readSeq   uint64
@@ -22,38 +22,38 @@
 type pendingProposal struct {
 	id      string
 	command []byte
-	sent    bool // it left this node, or has an index: it may be applied
+	sent    bool // it has left this node or was admitted to the log, so it may be applied
 	sentAt  time.Duration
 	waiters []*outcomeWaiter
 
-	// notAppliedThrough is an index at or below which the command wasn't applied. It doesn't rise any more
-	// once mayBeForgotten is set: the command may have been applied above it since, with an outcome that has
-	// left the deduplication window.
-	notAppliedThrough uint64
-	mayBeForgotten    bool
+	// notAppliedThrough is an index at or below which the command wasn't applied. It is no longer raised once
+	// outcomeMayBeEvicted is set: the command may have been applied at a higher index, with an outcome that has
+	// left the deduplication window since.
+	notAppliedThrough   uint64
+	outcomeMayBeEvicted bool
 }
 
-// outcomeWaiter is one call that waits for a command's outcome. At most one outcome is sent, and the channel
-// has a buffer of one, so that the core never blocks.
+// outcomeWaiter is a call that waits for a command's outcome. At most one outcome is sent, and the channel has a
+// buffer of one, so that the core never blocks.
 type outcomeWaiter struct{ outcomes chan chain.Outcome }
 
-// deferredCommand came to the head while it couldn't append: it waits for the decision on the next view, or
-// for the prefix.
+// deferredCommand is a forwarded command that the head received while it couldn't append: while it was wedged and
+// waited for the decision on the next view, or while it lacked the prefix.
 type deferredCommand struct {
 	Forward
 	deferredAt time.Duration
 }
 
-// maxDeferred bounds the commands that wait at the head. Beyond it they are dropped, and sent again by their
-// nodes.
+// maxDeferred bounds the number of deferred commands at the head. Further commands are dropped, and sent again by
+// the nodes where they were proposed.
 const maxDeferred = 1024
 
-// maxHops bounds how often a command is forwarded: around a broken link, and once more by a node whose view
-// is old.
+// maxHops bounds how often a forwarded command is forwarded again: once around a failed link, and once more by a
+// node whose view is outdated.
 const maxHops = 2
 
-// submit takes a command from a caller of this node. The outcome is delivered once the command is applied
-// here.
+// submit handles a proposal of a caller of this node. The outcome is delivered once the command is applied on this
+// node.
 func (c *core) submit(now time.Duration, id string, command []byte, waiter *outcomeWaiter) {
 	c.now = now
 	if outcome, known := c.state.Outcome(id); known {
@@ -69,7 +69,7 @@
 	c.dispatch(pending)
 }
 
-// withdraw drops a caller of a command and reports whether the command may be applied all the same.
+// withdraw removes a waiting caller of a command and reports whether the command may still be applied.
 func (c *core) withdraw(id string, waiter *outcomeWaiter) (sent bool) {
 	proposal := c.requests.proposals[id]
 	if proposal == nil {
@@ -85,7 +85,7 @@
 // dispatch appends a command if this is the head, or forwards it towards the head.
 func (c *core) dispatch(proposal *pendingProposal) {
 	proposal.sentAt = c.now
-	if !proposal.mayBeForgotten {
+	if !proposal.outcomeMayBeEvicted {
 		proposal.notAppliedThrough, _ = c.state.Applied()
 	}
 	head := c.acceptor.View.Head()
@@ -128,12 +128,13 @@
 	return view.Member{}
 }
 
-// admit gives a command an index, unless it has one, and reports whether it has.
+// admit appends a command to the log unless it already is in the log or applied. It reports whether the command was
+// appended, is in the log or is applied.
 //
-// A command is applied once for each ID because the head refuses an ID that it knows as applied or in its
-// log, and because one that may have been applied so long ago that its outcome is forgotten gets no index:
-// its sender asserts that the command wasn't applied at or below notAppliedThrough, and fewer commands must
-// have been appended since than the deduplication window holds.
+// A command is applied once for each ID for two reasons: the head doesn't append an ID again that it knows as
+// applied or in its log, and it doesn't admit a command that may have been applied so long ago that its outcome has
+// left the deduplication window. To check the latter, the sender asserts that the command wasn't applied at or below
+// notAppliedThrough, and fewer commands must have been appended after that index than the deduplication window holds.
 func (c *core) admit(id string, command []byte, notAppliedThrough uint64) bool {
 	if !c.serving() || !c.toleratesFailures() || c.leaving {
 		return false
@@ -158,10 +159,10 @@
 	return true
 }
 
-// onForward takes in a command from another node, and forwards it further if this isn't the head. A command
-// from an earlier epoch may be as old as a partition was long, and one that this process reads after a pause
-// as old as the pause: both are dropped, and the node where they were proposed sends them again if its caller
-// still waits. So no command is applied long after its caller was told that the outcome is unknown.
+// onForward handles a command from another node, and forwards it further if this member isn't the head. A command
+// from an earlier epoch may be as old as a partition was long, and a command that this process reads after a pause
+// may be as old as the pause was long. Both are dropped, and the node where they were proposed sends them again if
+// its caller still waits. Therefore no command is applied long after its caller received ErrUncertain.
 func (c *core) onForward(from view.Member, m Forward) {
 	if m.Epoch < c.epoch() || c.wasPaused() {
 		c.sendView(from)
@@ -179,8 +180,9 @@
 	}
 }
 
-// retryDeferred continues, in the next view at the latest, with the commands that came while this head
-// couldn't append. Their nodes send them again after retransmitInterval, so that an older one is dropped.
+// retryDeferred handles the deferred commands again once this member isn't wedged and, if it is the head, serves. It
+// drops commands that are older than retransmitInterval, because their nodes have sent them again by then, and
+// commands that were forwarded before the previous epoch.
 func (c *core) retryDeferred() {
 	if len(c.requests.deferred) == 0 || c.acceptor.Wedged() {
 		return
@@ -198,8 +200,8 @@
 	}
 }
 
-// retryRequests dispatches again the proposals, and marks for another request the reads, whose messages may
-// have been lost.
+// retryRequests dispatches proposals again whose messages may have been lost, and marks such reads for another
+// request.
 func (c *core) retryRequests() {
 	for _, id := range sortedKeys(c.requests.proposals) {
 		proposal := c.requests.proposals[id]
@@ -215,7 +217,7 @@
 	}
 }
 
-// complete delivers a command's outcome to those that wait for it.
+// complete delivers a command's outcome to the callers that wait for it.
 func (r *pendingRequests) complete(id string, outcome chain.Outcome) {
 	proposal := r.proposals[id]
 	if proposal == nil || id == "" {
@@ -227,9 +229,10 @@
 	}
 }
 
-// completeRestored completes the proposals whose outcomes came with a snapshot, after the state machine moved
-// on from an index. If the snapshot spans more commands than it has outcomes, a proposal without one may have
-// been applied and forgotten.
+// completeRestored completes the proposals whose outcomes are in a restored snapshot. previous is the index that was
+// applied before the snapshot was restored. If the snapshot advances the state machine by more commands than the
+// deduplication window holds, a proposal without an outcome may have been applied, with an outcome that has left the
+// window.
 func (c *core) completeRestored(previous uint64) {
 	applied, _ := c.state.Applied()
 	for _, id := range sortedKeys(c.requests.proposals) {
@@ -239,7 +242,7 @@
 		}
 		proposal := c.requests.proposals[id]
 		if proposal.sent && applied-previous > uint64(c.limits.deduplicationWindow) {
-			proposal.mayBeForgotten = true
+			proposal.outcomeMayBeEvicted = true
 		}
 	}
 }
--- a/coord/replica/proposer.go
+++ b/coord/replica/proposer.go
@@ -6,28 +6,28 @@
 	"sprucelane.example/sprucelane/coord/view"
 )
 
-// proposerState is this member's part as a proposer of the next view. Acceptors and the choice of the value
-// are in coord/view.
+// proposerState is this member's state as a proposer of the next view. Package coord/view implements the acceptor
+// and the choice of the proposed value.
 type proposerState struct {
-	proposal     *view.Proposal // nil: none is under way
+	proposal     *view.Proposal // nil: no proposal is in progress
 	startedAt    time.Duration
 	majorityAt   time.Duration // when a majority had answered the prepare; zero: not yet
 	acceptSent   bool
-	backoffUntil time.Duration // no new proposal before this moment, after an attempt that failed
+	backoffUntil time.Duration // no new proposal before this moment, after a failed attempt
 	reasonSince  time.Duration // since when there is a reason for another view; zero: there is none
-	highestRound uint64        // seen in any message; the next proposal goes above it
+	highestRound uint64        // highest round seen in any message; the next proposal uses a higher one
 	wedgedSince  time.Duration
 }
 
-// abandon gives up the proposal, if there is one, and starts no other before the backoff is over.
+// abandon gives up the proposal, if there is one, and prevents another one until the backoff is over.
 func (p *proposerState) abandon(now time.Duration, backoff time.Duration) {
 	p.proposal = nil
 	p.acceptSent = false
 	p.backoffUntil = now + backoff
 }
 
-// Backoffs of an abandoned proposal are drawn from [minimum, maximum), so that two proposers don't duel for
-// ever.
+// Backoffs after an abandoned proposal are drawn from [minimum, maximum), so that two proposers don't duel forever.
+// The minimum after a time-out is zero.
 const (
 	minRejectedBackoff = 100 * time.Millisecond
 	maxRejectedBackoff = 300 * time.Millisecond
@@ -63,7 +63,7 @@
 	c.proposeView(reason)
 }
 
-// proposeView starts a proposal with a number above all that this member has seen.
+// proposeView starts a proposal with a higher number than all that this member has seen.
 func (c *core) proposeView(reason string) {
 	round := max(c.proposer.highestRound, c.acceptor.Promised.Round) + 1
 	c.proposer.highestRound = round
@@ -80,8 +80,8 @@
 	c.onPrepare(c.self, prepare)
 }
 
-// advanceProposal sends the accept once the prepare responses allow a value and no more of them are likely to
-// come soon.
+// advanceProposal sends the accept once the prepare responses determine a value, and all voters that are alive have
+// responded or prepareGracePeriod is over.
 func (c *core) advanceProposal() {
 	p := c.proposer.proposal
 	if p == nil || c.proposer.acceptSent || !p.HasMajority() {
@@ -114,8 +114,8 @@
 	return true
 }
 
-// onPrepare answers a proposer's prepare. A response wedges this member: its log doesn't change, and stays as
-// the response describes it, until the member adopts the next view.
+// onPrepare answers a proposer's prepare. A prepare response wedges this member: until the member adopts the next
+// view, its log doesn't change, and so remains as described in the response.
 func (c *core) onPrepare(from view.Member, m view.Prepare) {
 	if !c.reconcileView(from, m.View) {
 		return
@@ -135,20 +135,20 @@
 	c.respond(from, response, changed)
 }
 
-// reconcileView adopts the proposer's view if that is newer, sends this member's view to the proposer if its
-// view is older, and reports whether this member may answer.
-func (c *core) reconcileView(from view.Member, present view.View) bool {
-	c.adoptView(present)
-	if present.Epoch < c.epoch() {
+// reconcileView adopts the proposer's view if it is newer than this member's view, or sends this member's view to
+// the proposer if the proposer's is older. It reports whether this member may answer the proposer.
+func (c *core) reconcileView(from view.Member, proposerView view.View) bool {
+	c.adoptView(proposerView)
+	if proposerView.Epoch < c.epoch() {
 		c.sendView(from)
 		return false
 	}
 	return c.hasDisk
 }
 
-// respond sends an acceptor's response, or passes it to this member's own proposal. If the acceptor's state
-// has changed, it must be durable before the response leaves, and this member is wedged. A pending proof of
-// staleness is void then: it counts on the commands of this epoch, which are no longer passed on.
+// respond sends an acceptor's response, or passes it to this member's own proposal. If the acceptor's state has
+// changed, it must be durable before the response is sent, and this member is wedged. A pending staleness proof is
+// then discarded, because it depends on commands of this epoch, which are no longer replicated.
 func (c *core) respond(to view.Member, response any, changed bool) {
 	if changed {
 		c.proposer.wedgedSince = c.now
@@ -196,8 +196,8 @@
 	c.proposer.abandon(c.now, c.randomBackoff(minRejectedBackoff, maxRejectedBackoff))
 }
 
-// onAcceptResponse counts a vote. Once a majority has accepted, the view is decided, and sent to the voters
-// of both views.
+// onAcceptResponse counts an acceptance of this member's own proposal. Once a majority has accepted it, the view is
+// decided, and sent to the voters of the previous and of the decided view.
 func (c *core) onAcceptResponse(m view.AcceptResponse) {
 	if c.proposer.proposal == nil {
 		return
@@ -218,12 +218,12 @@
 	}
 }
 
-// randomBackoff draws a duration from [from, to).
+// randomBackoff returns a random duration from [from, to).
 func (c *core) randomBackoff(from, to time.Duration) time.Duration {
 	return from + time.Duration(c.random.Int64N(int64(to-from)))
 }
 
-// proposerRank returns how many members that are alive come before this one in proposerOrder.
+// proposerRank returns the number of members before this one in proposerOrder that are alive and not leaving.
 func (c *core) proposerRank() int {
 	rank := 0
 	for _, m := range c.proposerOrder() {
@@ -237,8 +237,9 @@
 	return rank
 }
 
-// proposerOrder lists the voters in the order in which they may propose. The neighbours of a suspected member
-// come first: they exchange heartbeats with it and need it most.
+// proposerOrder returns the voters in the order in which they may propose a view. The neighbours of a suspected
+// member come first, because they exchange heartbeats with it and depend on it most. The other members of the chain
+// follow, then the voters outside of the chain.
 func (c *core) proposerOrder() []view.Member {
 	var members []view.Member
 	add := func(m view.Member) {
--- a/coord/replica/reads.go
+++ b/coord/replica/reads.go
@@ -8,25 +8,27 @@
 )
 
 // pendingRead is a linearizable read that waits for its read index (Ongaro, "Consensus: Bridging Theory and
-// Practice", 2014, section 6.4): an index that covers all commands acknowledged before the read began. A
-// chain member has one as soon as the epoch is confirmed for a moment after the beginning; a learner asks its
-// upstream. The read completes once the local state machine has applied up to it.
+// Practice", 2014, section 6.4): an index that covers all commands acknowledged before the read began. A chain
+// member knows the read index as soon as the epoch is confirmed for a moment after the start of the read; a learner
+// requests it from its upstream. The read completes once the local state machine has applied the commands up to the
+// read index.
 type pendingRead struct {
 	startedAt  time.Duration
-	index      uint64 // the read index, once indexKnown
+	index      uint64 // the read index, valid if indexKnown
 	indexKnown bool
-	requested  bool // a round of heartbeats, or a request to the upstream, is on its way
+	requested  bool // an urgent round of heartbeats or a request to the upstream was sent
 	sentAt     time.Duration
-	seq        uint64               // numbers the reads of this process
-	done       func(applied uint64) // nil: the read is a learner's
+	seq        uint64               // number of the read among those of this process
+	done       func(applied uint64) // nil: the read was requested by a learner
 
-	// Of a learner's read.
+	// Set for a read that was requested by a learner.
 	requester            view.Member
 	requesterSeq         uint64
 	requesterIncarnation uint64
 }
 
-// read calls done once everything acknowledged before now is applied here.
+// read starts a read of a caller of this node. It calls done once all commands acknowledged before now are applied
+// on this node.
 func (c *core) read(now time.Duration, done func(applied uint64)) *pendingRead {
 	c.now = now
 	c.requests.readSeq++
@@ -35,7 +37,7 @@
 	return read
 }
 
-// cancelRead drops a read whose caller doesn't wait any more.
+// cancelRead drops a read whose caller no longer waits.
 func (c *core) cancelRead(cancelled *pendingRead) {
 	for i, read := range c.requests.reads {
 		if read == cancelled {
@@ -45,7 +47,7 @@
 	}
 }
 
-// onReadIndexRequest takes in a learner's read. A repeated request is the same read.
+// onReadIndexRequest handles a learner's request for a read index. A repeated request doesn't start another read.
 func (c *core) onReadIndexRequest(from view.Member, m ReadIndexRequest) {
 	if !c.inChain() {
 		return
@@ -60,7 +62,7 @@
 	})
 }
 
-// onReadIndexReply takes in the read index of a read of this node's callers.
+// onReadIndexReply sets the read index of a read of this node's callers.
 func (c *core) onReadIndexReply(m ReadIndexReply) {
 	if m.Life != c.incarnation {
 		return
@@ -72,7 +74,8 @@
 	}
 }
 
-// completeReads answers the reads whose read index is known and applied, or for a learner committed.
+// completeReads completes the reads of this node's callers whose read index is applied, and answers the reads of
+// learners whose read index is committed. It drops reads of learners after remoteReadTimeout.
 func (c *core) completeReads() {
 	applied, _ := c.state.Applied()
 	waiting := c.requests.reads[:0]
@@ -93,7 +96,8 @@
 	c.requests.reads = waiting
 }
 
-// requestReadIndexes starts one urgent round of heartbeats, or asks the upstream, for all reads that wait.
+// requestReadIndexes requests the read indexes of all waiting reads: a chain member sends one urgent round of
+// heartbeats for all of them, a learner sends requests to its upstream.
 func (c *core) requestReadIndexes() {
 	urgent := false
 	for _, read := range c.requests.reads {
--- a/coord/replica/reconfiguration.go
+++ b/coord/replica/reconfiguration.go
@@ -10,14 +10,14 @@
 
 // Reasons to propose another view, also logged as the reason of the event view_proposed.
 const (
-	reasonWedged    = "wedged"           // a proposer that has begun may have failed
+	reasonWedged    = "wedged"           // the proposer that wedged this member may have failed
 	reasonSuspected = "suspected member" // a suspected member breaks the chain
-	reasonLeaving   = "leaving member"   // a member departs as planned
-	reasonVoters    = "voters"           // a spare or a replacement gets a vote
-	reasonReturned  = "returned member"  // a voter may join the chain
+	reasonLeaving   = "leaving member"   // a chain member is in a planned departure
+	reasonVoters    = "voters"           // the set of voters should change
+	reasonReturned  = "returned member"  // a voter outside of the chain may join it
 )
 
-// reconfigurationReason returns why the view should change, or "".
+// reconfigurationReason returns the reason for which the view should change, or "" if there is none.
 func (c *core) reconfigurationReason() string {
 	if !c.reachesMajority() {
 		return "" // no view can be decided
@@ -35,7 +35,7 @@
 	if suspected, broken := c.suspectedMembers(); broken {
 		return reasonSuspected
 	} else if suspected {
-		return "" // this member's view would leave out one that the chain can still use
+		return "" // a view proposed by this member would exclude a member that the chain can still use
 	}
 	for _, m := range c.acceptor.View.Chain {
 		if c.isLeaving(m) && view.Index(nextChain, m) < 0 {
@@ -65,8 +65,9 @@
 	return count >= c.acceptor.View.Majority()
 }
 
-// suspectedMembers reports whether this member suspects members of the chain, and whether that breaks the
-// chain: a suspected neighbour does, and so does a member that no other member of the chain reaches.
+// suspectedMembers reports whether this member suspects members of the chain, and whether the chain is broken by
+// them: it is broken by a suspected neighbour of this member, and by a suspected member that no other member of
+// the chain reaches.
 func (c *core) suspectedMembers() (suspected, broken bool) {
 	for _, m := range c.acceptor.View.Chain {
 		if c.alive(m) {
@@ -84,8 +85,8 @@
 	return predecessor.Same(m) || successor.Same(m)
 }
 
-// reachableFromChain reports whether another member of the chain reaches m. Then only the link between m and
-// this member is broken, which the chain doesn't use.
+// reachableFromChain reports whether another member of the chain reaches m. If so, only the link between m and
+// this member has failed, which the chain doesn't use unless the two are neighbours.
 func (c *core) reachableFromChain(m view.Member) bool {
 	for _, other := range c.acceptor.View.Chain {
 		if other.Same(c.self) || other.Same(m) {
@@ -98,8 +99,9 @@
 	return false
 }
 
-// mayJoinChain reports whether m is reachable from this member and, as far as heartbeats tell, from the whole
-// chain.
+// mayJoinChain reports whether m isn't leaving and is reachable from this member and, according to the heartbeats,
+// from all other members of the chain that are alive. Heartbeats list voters only, so if m isn't a voter, only
+// this member's own link counts.
 func (c *core) mayJoinChain(m view.Member) bool {
 	if !c.reachable(m) || c.isLeaving(m) {
 		return false
@@ -131,7 +133,7 @@
 	return members
 }
 
-// planner returns a planner of the next view with what this member knows of the machines.
+// planner returns a planner of the next view, based on this member's knowledge of the machines.
 func (c *core) planner() view.Planner {
 	return view.Planner{
 		Current:        c.acceptor.View,
@@ -145,16 +147,16 @@
 	}
 }
 
-// planVoters returns the voters that the next view should have. Voters are replaced only while enough members
-// are known to have the complete prefix: the disk of an absent voter may be the one that the next loss makes
-// necessary.
+// planVoters returns the voters that the next view should have. Voters are replaced only while more than tolerance
+// members are known to have the complete prefix, because otherwise the disk of an absent voter may be needed after
+// the next loss.
 func (c *core) planVoters() []view.Member {
 	planner := c.planner()
 	return planner.Voters(c.knownComplete() > c.tolerance)
 }
 
-// knownComplete returns the number of chain members that this one knows to have the complete prefix: its
-// predecessors and itself, and the successor if it said so.
+// knownComplete returns the number of chain members that this member knows to have the complete prefix: its
+// predecessors and itself, and the successor if it has reported so.
 func (c *core) knownComplete() int {
 	if !c.serving() || !c.replication.prefixComplete {
 		return 0
@@ -166,7 +168,7 @@
 	return known
 }
 
-// withKnownName returns m with the node's name, if a heartbeat has brought it.
+// withKnownName returns m with the name of its node, if this member knows it.
 func (c *core) withKnownName(m view.Member) view.Member {
 	if p := c.peers[m.ID()]; p != nil {
 		return p.member
@@ -174,7 +176,8 @@
 	return m
 }
 
-// expectedSource returns the source that the prepare responses would give, as far as this member can tell.
+// expectedSource returns this member's estimate of the source that prepare responses would determine: the first
+// chain member that is alive and isn't leaving, or this member if there is none.
 func (c *core) expectedSource() view.Member {
 	for _, m := range c.acceptor.View.Chain {
 		if c.alive(m) && !c.isLeaving(m) {
@@ -184,18 +187,18 @@
 	return c.self
 }
 
-// isStaying reports whether m is preferred as a source.
+// isStaying reports whether m isn't leaving. Members that stay are preferred as the source of a view.
 func (c *core) isStaying(m view.Member) bool { return !c.isLeaving(m) }
 
-// planMembers returns the voters and the chain of the next view for the source that the prepare responses
-// gave.
+// planMembers returns the voters and the chain of the next view. The source and the holders of its log were
+// determined from the prepare responses.
 func (c *core) planMembers(source view.Member, holders []view.Member) (voters, members []view.Member, ok bool) {
 	planner := c.planner()
 	voters, members, ok = planner.Plan(source, holders)
 	return c.withNames(voters), c.withNames(members), ok
 }
 
-// withNames fills in the names of nodes that heartbeats have brought, in place.
+// withNames fills in the known names of the members' nodes, in place.
 func (c *core) withNames(members []view.Member) []view.Member {
 	for i := range members {
 		if members[i].Same(c.self) {
--- a/coord/replica/replication.go
+++ b/coord/replica/replication.go
@@ -7,22 +7,23 @@
 	"sprucelane.example/sprucelane/coord/view"
 )
 
-// replicationState is the volatile state of this member's place in the chain of its epoch. It is reset by
-// every view.
+// replicationState is the volatile state of this member's position in the chain of its epoch. It is reset by
+// every view change.
 //
-// The algorithm is chain replication (van Renesse and Schneider, 2004): the head appends, each member passes
-// on what is durable at itself, and what is durable at the tail is on every disk of the chain, hence
-// committed. Commit indexes travel back with the acknowledgements. It differs from the paper in who reads:
-// any node may (reads.go), and in reconfiguration, which the members agree on themselves (coord/view) instead
-// of asking a master.
+// The algorithm is chain replication (van Renesse and Schneider, 2004): the head appends commands, each member
+// sends the commands that are durable on its own disk to its successor, and the commands that are durable at the
+// tail are on every disk of the chain, hence committed. Commit indexes travel back with the acknowledgements. It
+// differs from the paper in that any node may serve reads (reads.go), and in that the members agree on a
+// reconfiguration themselves (coord/view) instead of asking a master.
 type replicationState struct {
-	// prefixComplete says that this member and all its predecessors have the complete prefix of the epoch.
-	// Only then may it pass commands on: so nothing reaches the tail, and nothing commits, before the whole
-	// chain has it.
+	// prefixComplete is set once this member and all its predecessors have the complete prefix of the epoch.
+	// Only then may this member send commands to its successor. Therefore nothing reaches the tail, and nothing
+	// commits, before the whole chain has the prefix.
 	prefixComplete bool
-	// successorKnown says that the successor has reported its last index in this epoch.
+	// successorKnown is set once the successor has reported its last index in this epoch.
 	successorKnown bool
-	// successorComplete says that the successor, too, knows that all members up to itself have the prefix.
+	// successorComplete is set once the successor has reported that it and all its predecessors have the
+	// complete prefix.
 	successorComplete bool
 
 	sentIndex        uint64 // last command sent to the successor
@@ -32,10 +33,11 @@
 
 	ackDue            bool          // an Ack to the predecessor is due
 	gapReported       bool          // a gap was reported since the last round of heartbeats
-	prefixRequestedAt time.Duration // when the source was asked for the prefix last
+	prefixRequestedAt time.Duration // when the prefix was last requested from the source
 }
 
-// enterChain starts this member's part in the chain of a view.
+// enterChain resets the replication state for the current view. A member of the chain that lacks the prefix
+// requests it, and every member asks its successor for an Ack.
 func (c *core) enterChain() {
 	c.replication = replicationState{ackDue: true, prefixRequestedAt: never}
 	if c.inChain() && c.syncedEpoch != c.epoch() {
@@ -50,26 +52,26 @@
 	}
 }
 
-// isHead reports whether this member is the head of the present chain.
+// isHead reports whether this member is the head of the current chain.
 func (c *core) isHead() bool { return c.acceptor.View.Head().Same(c.self) }
 
-// appendCommand gives a command the next index. Only the head of an epoch does this, and only while it
-// serves, so that an index and an epoch identify one command.
+// appendCommand appends a command to the log at the next index. Only the head of an epoch does this, and only
+// while it serves, so that an index and an epoch identify one command.
 func (c *core) appendCommand(id string, command []byte) {
 	entry := chain.Entry{Index: c.log.LastIndex() + 1, Epoch: c.epoch(), ID: id, Order: command}
 	c.log.Append(entry)
 	c.recordAppended([]chain.Entry{entry})
 }
 
-// recordAppended queues the record of new entries. A checkpoint that is due contains them.
+// recordAppended queues the record of new entries, unless a checkpoint is due, which will contain them.
 func (c *core) recordAppended(entries []chain.Entry) {
 	if !c.checkpointDue {
 		c.records = append(c.records, encodeEntries(entries))
 	}
 }
 
-// onAppend appends what the predecessor sends. A member with the complete prefix whose predecessor sends in
-// this epoch knows by this that all its predecessors have the prefix, too.
+// onAppend handles entries from the predecessor. If a member has the complete prefix, an Append of this epoch
+// from its predecessor shows that all its predecessors have the prefix, too.
 func (c *core) onAppend(from view.Member, m Append) {
 	if m.Epoch < c.epoch() {
 		c.sendView(from)
@@ -92,16 +94,16 @@
 	}
 	c.replication.gapReported = false
 	if epoch, known := c.log.EpochAt(m.Prev); known {
-		c.invariant(epoch == m.PrevEpoch, "entry %d is of epoch %d here, of %d before", m.Prev, epoch, m.PrevEpoch)
+		c.invariant(epoch == m.PrevEpoch, "entry %d has epoch %d, but %d at the predecessor", m.Prev, epoch, m.PrevEpoch)
 	}
 	c.appendNew(m.Entries)
 }
 
-// appendNew appends the entries that the log lacks. Those that it has must be the same commands.
+// appendNew appends the entries that the log lacks. Entries that the log already has must be of the same epoch.
 func (c *core) appendNew(entries []chain.Entry) {
 	for len(entries) > 0 && entries[0].Index <= c.log.LastIndex() {
 		if epoch, known := c.log.EpochAt(entries[0].Index); known {
-			c.invariant(epoch == entries[0].Epoch, "two commands at %d in one epoch", entries[0].Index)
+			c.invariant(epoch == entries[0].Epoch, "received entry %d differs in epoch from the log", entries[0].Index)
 		}
 		entries = entries[1:]
 	}
@@ -114,7 +116,8 @@
 	c.recordAppended(entries)
 }
 
-// advanceReplication passes on, commits, applies and acknowledges what has become durable.
+// advanceReplication sends the entries that have become durable to the successor, or commits them at the tail,
+// applies the committed ones, and acknowledges progress to the predecessor.
 func (c *core) advanceReplication() {
 	if c.serving() {
 		_, successor := c.acceptor.View.Adjacent(c.self)
@@ -130,15 +133,15 @@
 	}
 }
 
-// commitAtTail commits what is durable at the tail: its predecessors sent nothing that wasn't durable at
-// themselves.
+// commitAtTail commits the entries that are durable at the tail. They are durable on all disks of the chain,
+// because each predecessor sends only entries that are durable on its own disk.
 func (c *core) commitAtTail() {
 	if c.replication.prefixComplete && c.toleratesFailures() {
 		c.commitIndex = max(c.commitIndex, c.durableIndex)
 	}
 }
 
-// replicateTo sends the successor what is durable here and hasn't been sent.
+// replicateTo sends the successor the entries that are durable on this member's disk and haven't been sent.
 func (c *core) replicateTo(successor view.Member) {
 	for c.replication.sentIndex < c.durableIndex {
 		entries := c.log.After(c.replication.sentIndex, c.limits.batchBytes)
@@ -151,20 +154,21 @@
 	}
 }
 
-// requestAck asks the successor for its last index, after a delayed Ack reported one that the log here is
-// compacted beyond.
+// requestAck asks the successor for its last index, after a delayed Ack has reported an index beyond which this
+// member's log is already compacted.
 func (c *core) requestAck(successor view.Member) {
 	c.replication.successorKnown = false
 	c.send(successor, AckRequest{Epoch: c.epoch()})
 }
 
-// sendAppend sends entries that follow the last one sent. Without entries it only confirms the prefix.
+// sendAppend sends entries that follow the last entry sent. Without entries it only confirms the prefix.
 func (c *core) sendAppend(successor view.Member, entries []chain.Entry) {
 	epoch, _ := c.log.EpochAt(c.replication.sentIndex)
 	c.send(successor, Append{Epoch: c.epoch(), Prev: c.replication.sentIndex, PrevEpoch: epoch, Entries: entries})
 }
 
-// sendAck reports to the predecessor what is durable here and what is committed.
+// sendAck reports this member's durable index and commit index to the predecessor. gap means that this member has
+// received an Append whose entries don't follow its log.
 func (c *core) sendAck(gap bool) {
 	predecessor, _ := c.acceptor.View.Adjacent(c.self)
 	c.replication.ackDue = false
@@ -178,7 +182,8 @@
 	})
 }
 
-// onAck takes in the successor's progress. Acks may be lost, repeated and reordered, so indexes only grow.
+// onAck handles a report of the successor's progress. Acks may be lost, duplicated and reordered, so the indexes
+// taken from them never decrease.
 func (c *core) onAck(from view.Member, m Ack) {
 	if m.Epoch < c.epoch() {
 		c.sendView(from)
@@ -188,12 +193,12 @@
 	if m.Epoch != c.epoch() || !successor.Same(from) || c.syncedEpoch != c.epoch() {
 		return
 	}
-	c.invariant(m.End <= c.log.LastIndex(), "successor has entries to %d, its predecessor to %d", m.End, c.log.LastIndex())
-	c.invariant(m.Commit <= c.log.LastIndex(), "committed %d, log ends at %d", m.Commit, c.log.LastIndex())
+	c.invariant(m.End <= c.log.LastIndex(), "successor's log ends at %d, own log at %d", m.End, c.log.LastIndex())
+	c.invariant(m.Commit <= c.log.LastIndex(), "successor committed to %d, log ends at %d", m.Commit, c.log.LastIndex())
 	c.replication.ackedIndex = max(c.replication.ackedIndex, m.End)
 	if !c.replication.successorKnown || m.Gap || c.replication.sentIndex < c.replication.ackedIndex {
 		c.replication.successorKnown = true
-		// Not m.End: a delayed Ack may report less, and what is acknowledged may be compacted away.
+		// Not m.End: a delayed Ack may report a lower index, and acknowledged entries may be compacted away.
 		c.replication.sentIndex = c.replication.ackedIndex
 	}
 	c.replication.successorComplete = m.Whole
@@ -203,8 +208,8 @@
 	}
 }
 
-// retransmit repeats, at each round of heartbeats, what a broken connection may have lost: the request for
-// the prefix, the Ack, and entries on which no progress was acknowledged since the last round.
+// retransmit repeats the messages that a broken connection may have lost: the prefix request, the Ack, and
+// entries if no progress was acknowledged since the last round. It is called at each round of heartbeats.
 func (c *core) retransmit() {
 	if !c.inChain() || c.acceptor.Wedged() {
 		return
@@ -229,7 +234,7 @@
 	c.replication.ackedAtHeartbeat = c.replication.ackedIndex
 }
 
-// applyCommitted applies what is committed.
+// applyCommitted applies the committed entries that aren't applied yet.
 func (c *core) applyCommitted() {
 	applied, _ := c.state.Applied()
 	base, _ := c.log.Base()
@@ -240,7 +245,7 @@
 	c.completeStalenessProof()
 }
 
-// applyEntry applies a committed entry and completes the proposal that waits for it.
+// applyEntry applies a committed entry and completes the pending proposal of its command, if there is one.
 func (c *core) applyEntry(entry chain.Entry) {
 	outcome, repeated := c.state.Apply(entry)
 	c.requests.complete(entry.ID, outcome)
--- a/coord/replica/start.go
+++ b/coord/replica/start.go
@@ -12,9 +12,9 @@
 	"sprucelane.example/sprucelane/coord/view"
 )
 
-// Start opens the disk, listens, and joins the system that the seeds belong to. It returns before the node is
-// part of a chain. It fails if the disk can't be opened or refuses the first write (ErrUnavailable), if the
-// coordination address can't be listened on, or with ErrNoSeeds.
+// Start opens the disk, listens on the coordination address, and joins the system that the seeds belong to. It
+// returns before the node is part of a chain. It fails if the disk can't be opened or refuses the first write
+// (ErrUnavailable), if it can't listen on the coordination address, or with ErrNoSeeds.
 func Start(options Options) (*Node, error) {
 	if options.Log == nil {
 		options.Log = func(string, ...any) {}
@@ -36,7 +36,7 @@
 	}
 	n.flush()
 	if n.diskUnhealthy {
-		return nil, n.abort(fmt.Errorf("replica: the disk takes no bytes: %w", ErrUnavailable))
+		return nil, n.abort(fmt.Errorf("replica: the disk refuses the first write: %w", ErrUnavailable))
 	}
 	listener, err := options.listen()
 	if err != nil {
@@ -48,7 +48,7 @@
 	return n, nil
 }
 
-// abort closes what a failed Start has opened, and returns its error.
+// abort closes the resources that a failed Start has opened, and returns err.
 func (n *Node) abort(err error) error {
 	if n.network != nil {
 		n.network.close()
@@ -59,7 +59,7 @@
 	return err
 }
 
-// openCore makes the core from what the disk held, or as a new member.
+// openCore creates the core and the network, from the state recovered from the disk or as a new member.
 func (n *Node) openCore(recovered *recoveredState) error {
 	member, genesis, err := newMember(&n.options)
 	if err != nil {
@@ -69,11 +69,11 @@
 		member = recovered.self
 		genesis = nil
 	}
-	var drawn [24]byte
-	if _, err := cryptorand.Read(drawn[:]); err != nil {
+	var randomBytes [24]byte
+	if _, err := cryptorand.Read(randomBytes[:]); err != nil {
 		return fmt.Errorf("replica: %w", err)
 	}
-	seed := func(i int) uint64 { return binary.LittleEndian.Uint64(drawn[8*i:]) }
+	seed := func(i int) uint64 { return binary.LittleEndian.Uint64(randomBytes[8*i:]) }
 	n.network = newNetwork(n, member)
 	n.core, err = newCore(coreOptions{
 		self:          member,
@@ -91,15 +91,16 @@
 	return err
 }
 
-// newMember draws the incarnation of an empty disk, or of a process without one. If the system is founded, it
-// returns the first view, too, and the founders have the same, well-known incarnation on every machine.
+// newMember returns the member for an empty disk or a process without one, with a random incarnation. With
+// Options.Bootstrap it also returns the first view, and the founders get the same well-known incarnation on every
+// machine.
 func newMember(options *Options) (view.Member, *view.View, error) {
 	member := view.Member{Node: options.Identity.Node, Address: options.Listen}
-	var drawn [8]byte
-	if _, err := cryptorand.Read(drawn[:]); err != nil {
+	var randomBytes [8]byte
+	if _, err := cryptorand.Read(randomBytes[:]); err != nil {
 		return member, nil, fmt.Errorf("replica: draw an incarnation: %w", err)
 	}
-	member.Incarnation = hex.EncodeToString(drawn[:])
+	member.Incarnation = hex.EncodeToString(randomBytes[:])
 	if !options.Bootstrap {
 		return member, nil, nil
 	}
--- a/coord/replica/status.go
+++ b/coord/replica/status.go
@@ -7,16 +7,16 @@
 	"sprucelane.example/sprucelane/coord/view"
 )
 
-// Peer is what a node knows of a machine with a disk.
+// Peer describes a machine with a disk, as known to a node.
 type Peer struct {
 	Member    view.Member
 	Voter     bool
 	InChain   bool
-	Reachable bool // from this node, both ways; always false at a node without a disk
-	Candidate bool // has no vote and asks for one
+	Reachable bool // the link from this node works both ways; always false at a node without a disk
+	Candidate bool // the member has no vote and asks for one
 }
 
-// status is what the loop publishes of the node after each batch of inputs. It is immutable.
+// status is the state of the node that the loop publishes after each batch of inputs. It is immutable.
 type status struct {
 	view          view.View
 	applied       uint64
@@ -27,11 +27,11 @@
 	currentAsOf    time.Time // all commands acknowledged before this moment are applied
 
 	leaseEpoch      uint64
-	leaseExpiry     time.Time // of the leader lease; zero: not held
-	headLeaseExpiry time.Time // zero: this node isn't the confirmed head
+	leaseExpiry     time.Time // when the leader lease expires; zero: not held
+	headLeaseExpiry time.Time // when the head lease expires; zero: this node isn't the confirmed head
 }
 
-// publish replaces the status.
+// publish publishes the current state of the node as its status.
 func (n *Node) publish() {
 	now := time.Now()
 	elapsed := now.Sub(n.start)
@@ -51,14 +51,15 @@
 	n.status.Store(next)
 }
 
-// callbacks are the functions registered with OnApply and OnView. They are immutable; Node.callbackMu
-// serializes those who replace them.
+// callbacks are the functions registered with OnApply and OnView. A value is immutable; Node.callbackMu serializes
+// its replacement.
 type callbacks struct {
 	onApply []func(index uint64, command, result []byte)
 	onView  []func(view.View)
 }
 
-// onApplied calls the callbacks for a command. A command that has two indexes is applied, and reported, once.
+// onApplied calls the callbacks for an applied command. A command that has two indexes is applied, and reported, only
+// once.
 func (n *Node) onApplied(entry chain.Entry, outcome chain.Outcome, repeated bool) {
 	if repeated {
 		return
@@ -68,7 +69,7 @@
 	}
 }
 
-// onViewAdopted calls the callbacks for a view.
+// onViewAdopted calls the callbacks for an adopted view.
 func (n *Node) onViewAdopted(v view.View) {
 	for _, call := range n.callbacks.Load().onView {
 		call(v)
--- a/coord/replica/store.go
+++ b/coord/replica/store.go
@@ -12,17 +12,17 @@
 type durableStore interface {
 	// Append makes records durable.
 	Append(records ...[]byte) error
-	// Compact replaces the snapshot and all records.
+	// Compact makes a new snapshot durable, which replaces the previous snapshot and all records.
 	Compact(snapshot []byte) error
 	// LogBytes returns the size of the records since the last Compact.
 	LogBytes() int64
 	Close() error
 }
 
-// diskProbeInterval is the time between two attempts to use a disk that refused a write.
+// diskProbeInterval is the time between two attempts to reopen a disk that has refused a write.
 const diskProbeInterval = 500 * time.Millisecond
 
-// openStore opens the disk and decodes what it holds; found is nil for an empty one.
+// openStore opens the disk and decodes its contents. recovered is nil if the disk is empty.
 func openStore(fs slots.FS) (store durableStore, recovered *recoveredState, err error) {
 	opened, contents, err := slots.Open(fs, slots.Options{})
 	if err != nil {
@@ -39,16 +39,17 @@
 	return opened, recovered, nil
 }
 
-// CorruptPrefix starts the names of the files that are kept of a corrupt disk when it is emptied, in its folder. They
-// stay until the next time.
+// CorruptPrefix is the prefix of the names of the files that are kept, in the same directory, as copies of a corrupt
+// disk when it is emptied. They are kept until a disk is found corrupt again.
 const CorruptPrefix = "corrupt-"
 
-// maxCorruptCopyBytes bounds what is kept of a corrupt disk, which may be small and is needed for what comes.
+// maxCorruptCopyBytes bounds the size of the copies of a corrupt disk, because the disk may be small and its space is
+// needed for new data.
 const maxCorruptCopyBytes = 8 << 20
 
-// openDisk opens the disk of a starting node. A disk that lost data that it had acknowledged is emptied: its
-// member is lost, votes included, and a new one joins in its place. Continuing with what is left could break
-// promises that this member has made as an acceptor.
+// openDisk opens the disk of a starting node. A disk that has lost data that it had acknowledged is emptied: its
+// member is lost, together with its vote, and a new member joins in its place. Continuing with the remaining data
+// could break promises that this member has made as an acceptor.
 func (n *Node) openDisk() (*recoveredState, error) {
 	fs := n.options.filesystem()
 	if fs == nil {
@@ -62,7 +63,7 @@
 			n.options.Log("disk_copy_failed", "error", err.Error())
 		}
 		if err := slots.Wipe(fs, slots.Options{}); err != nil {
-			return nil, fmt.Errorf("replica: empty the damaged disk: %w", err)
+			return nil, fmt.Errorf("replica: wipe the corrupt disk: %w", err)
 		}
 		store, recovered, err = openStore(fs)
 	}
@@ -74,7 +75,7 @@
 	return recovered, nil
 }
 
-// logRepairs logs the torn tails that were truncated in the disk's files at this start.
+// logRepairs logs the torn tails that were truncated from the disk's files at this start.
 func (n *Node) logRepairs(recovered *recoveredState) {
 	if recovered == nil {
 		return
@@ -84,8 +85,8 @@
 	}
 }
 
-// diskFailed takes the member out of service until its disk takes bytes again. Nothing leaves it meanwhile:
-// what it decided last isn't durable, and its messages may speak of it.
+// diskFailed takes the member out of service until its disk accepts writes again. Until then the member sends no
+// messages, because they may refer to state that isn't durable.
 func (n *Node) diskFailed(err error) {
 	n.options.Log("disk_write_failed", "error", err.Error())
 	n.diskUnhealthy = true
@@ -94,7 +95,8 @@
 	_ = n.store.Close()
 }
 
-// probeDisk reopens the disk once it takes bytes again, and continues from what it holds.
+// probeDisk tries to reopen the disk, at most once in diskProbeInterval, and reports whether the disk accepts writes
+// again. If so, the core continues from the contents of the disk.
 func (n *Node) probeDisk() bool {
 	if time.Now().Before(n.nextDiskProbe) {
 		return false
--- a/coord/replica/view.go
+++ b/coord/replica/view.go
@@ -4,12 +4,12 @@
 	"sprucelane.example/sprucelane/coord/view"
 )
 
-// adoptView moves to a decided view.
+// adoptView adopts a decided view if it is newer than the current one.
 //
-// It is safe at any time: a majority of the previous view's voters accepted the view, so no other one is
-// decided for its epoch. A source is synced in its new epoch at once: it has been wedged since it answered
-// the prepare on which the view rests, so its log is still the one that the proposer chose. For that it must
-// adopt the view directly from the epoch before, which is checked.
+// This is safe at any time: a majority of the previous view's voters accepted the view, so no other view is
+// decided for its epoch. The source of a view is synced in the new epoch at once: it has been wedged since it
+// answered the prepare that led to the view, so its log is still the log that the proposer chose. This requires
+// that the source adopts the view directly from the preceding epoch, which is checked.
 func (c *core) adoptView(v view.View) {
 	if v.Epoch <= c.epoch() {
 		return
@@ -18,7 +18,7 @@
 	wedged := c.acceptor.Wedged()
 	if v.Source.Same(c.self) && c.hasDisk {
 		c.invariant(v.Epoch == previous.Epoch+1 && wedged,
-			"source of epoch %d without a promise (epoch %d)", v.Epoch, previous.Epoch)
+			"source of epoch %d has made no promise in the epoch before it (own epoch %d)", v.Epoch, previous.Epoch)
 	}
 	c.acceptor.Adopt(v)
 	if v.Source.Same(c.self) {
@@ -42,7 +42,7 @@
 	}
 }
 
-// enterView prepares the volatile state of the present view.
+// enterView initializes the volatile state for the current view.
 func (c *core) enterView() {
 	for _, m := range c.acceptor.View.Voters {
 		c.peerOf(m)
