--- a/coord/replica/availability_test.go
+++ b/coord/replica/availability_test.go
@@ -8,16 +8,16 @@
 )
 
 const (
-	// maxUnavailability is the longest time from a loss to the next acknowledgement. A client proposes a
-	// command again after a second.
+	// maxUnavailability is the maximum time from a loss to the next acknowledgement. A client proposes a command
+	// again after a second without an answer.
 	maxUnavailability = 2 * time.Second
-	// maxRepairTime is the longest time from the end of a loss until the whole chain has the prefix.
+	// maxRepairTime is the maximum time from the end of a loss until the whole chain has the prefix.
 	maxRepairTime = 2 * time.Second
 )
 
-// expectAvailable checks that, soon after a loss, each machine that reaches a majority gets commands
-// acknowledged, and that the chain is complete soon after the loss has ended. It checks nothing in runs with
-// further disturbances.
+// expectAvailable schedules checks that, within maxUnavailability of a loss, commands proposed through each machine
+// that reaches a majority are acknowledged, and that the chain is complete soon after the loss has ended. In runs
+// with duels, with unordered messages or without clients it checks nothing.
 func (c *campaign) expectAvailable(down time.Duration) {
 	if c.duels || c.unordered || c.noClients {
 		return
@@ -31,13 +31,13 @@
 	})
 	c.after(maxUnavailability, func() {
 		if c.now < c.end && c.faults == fault && c.lastAck < lostAt && c.withinTolerance() {
-			c.failf("nothing is acknowledged since %v", c.lastAck)
+			c.failf("no command was acknowledged since %v", c.lastAck)
 		}
 	})
 	c.expectComplete(down)
 }
 
-// expectComplete checks that the chain is complete soon after a loss has ended.
+// expectComplete schedules a check that the chain is complete within maxRepairTime of the end of a loss.
 func (c *campaign) expectComplete(down time.Duration) {
 	if c.duels || c.unordered || c.noClients {
 		return
@@ -50,8 +50,8 @@
 	})
 }
 
-// probe proposes a command through each machine that reaches a majority. It must be acknowledged in time
-// after the loss.
+// probe proposes a command through each machine that reaches a majority, and schedules a check that it was
+// acknowledged within maxUnavailability of the loss.
 func (c *campaign) probe(lostAt time.Duration) {
 	fault := c.faults
 	for _, n := range c.members() {
@@ -68,14 +68,14 @@
 				return
 			}
 			if c.withinTolerance() && c.reachesMajority(n) {
-				c.failf("%s reaches a majority, and its command %s isn't acknowledged", n.name, id)
+				c.failf("%s reaches a majority, but its command %s isn't acknowledged", n.name, id)
 			}
 		})
 	}
 }
 
-// reachesMajority reports whether a machine votes in the newest view and is healthy, and reaches, both ways,
-// a majority of healthy voters, itself included.
+// reachesMajority reports whether a machine is healthy, is a voter of the newest view, and has working links, in both
+// directions, to a majority of healthy voters, itself included.
 func (c *campaign) reachesMajority(n *simulatedNode) bool {
 	newest := c.newestView()
 	if newest == nil || !c.healthy(n) || !newest.core.view().IsVoter(n.core.self) {
--- a/coord/replica/campaign_test.go
+++ b/coord/replica/campaign_test.go
@@ -11,38 +11,37 @@
 	"sprucelane.example/sprucelane/coord/view"
 )
 
-// catchUpTime is the time after the end of a fault after which the next may follow, whether the chain is
-// complete or not.
+// catchUpTime is the time from the end of a fault to the next fault, whether the chain is complete by then or not.
 const catchUpTime = 4800 * time.Millisecond
 
 const (
-	// thinkTime is the longest pause of a client between two commands.
+	// thinkTime is the maximum pause of a client between two commands.
 	thinkTime = 150 * time.Millisecond
-	// busyThinkTime is that pause in a burst.
+	// busyThinkTime is the maximum pause during a burst of commands.
 	busyThinkTime = 4 * time.Millisecond
 )
 
 // campaign is a simulated cluster under random load and faults.
 type campaign struct {
 	*simulatedCluster
-	draws        *rand.Rand // of the run's properties, apart from what happens in it
-	commands     int        // that clients have proposed
+	draws        *rand.Rand // draws the configuration of the run; simulatedCluster.random draws its events
+	commands     int        // number of commands that clients have proposed
 	probes       int
 	end          time.Duration // no faults and no new commands after this
 	maxThinkTime time.Duration
 
-	faults          int    // injected so far
-	duels           bool   // members propose views against each other all the time
-	noClients       bool   // without the usual clients
-	backToBack      bool   // the next fault comes as soon as the chain is complete
-	oldestDiskFirst bool   // the next fault is of the machine whose disk has lasted longest
-	onlyFault       string // the only kind of fault; empty: all
+	faults          int    // number of faults injected so far
+	duels           bool   // members propose competing views throughout the run
+	noClients       bool   // the usual clients don't run
+	backToBack      bool   // the next fault follows as soon as the chain is complete
+	oldestDiskFirst bool   // faults prefer the machines with the oldest disks
+	onlyFault       string // name of the only kind of fault; empty: all kinds
 
 	lastAck   time.Duration
 	onNextAck func() // called once at the next acknowledgement
 }
 
-// runCampaign runs a seed and panics with a failure if an invariant is broken.
+// runCampaign runs a seed. It panics with a failure if an invariant is violated.
 
 func runCampaign(seed uint64, duration time.Duration, bug injectedBug) *campaign {
 	c := prepareCampaign(seed, duration, bug)
@@ -50,7 +49,7 @@
 	return c
 }
 
-// prepareCampaign makes a campaign that is still to be run.
+// prepareCampaign returns the campaign of a seed without running it.
 func prepareCampaign(seed uint64, duration time.Duration, bug injectedBug) *campaign {
 	draws := rand.New(rand.NewPCG(seed, 5))
 	tolerance, machines := 1, 3+draws.IntN(4)
@@ -76,17 +75,17 @@
 	}
 	c.onAck = func(_ *simulatedNode, id string) {
 		c.lastAck = c.now
-		if act := c.onNextAck; act != nil {
+		if callback := c.onNextAck; callback != nil {
 			c.onNextAck = nil
-			c.after(0, act)
+			c.after(0, callback)
 		}
 		c.retryLater(id)
 	}
 	return c
 }
 
-// drawLimits draws how much logs and messages hold and how many outcomes are kept. With small limits the log
-// is compacted and snapshots are sent all the time.
+// drawLimits draws the limits of logs, messages and kept outcomes. With small limits, logs are compacted and snapshots
+// are sent frequently.
 func (c *campaign) drawLimits() {
 	c.limits.retainedLogBytes = pick(c.draws, 64, 1<<10, defaultRetainedLogBytes)
 	c.limits.batchBytes = pick(c.draws, 100, 1<<10, defaultBatchBytes)
@@ -97,7 +96,7 @@
 	}
 }
 
-// pick draws one of the values.
+// pick returns one of the values at random.
 func pick(draws *rand.Rand, values ...int) int { return values[draws.IntN(len(values))] }
 
 // run runs the campaign and checks that the cluster recovers in the end.
@@ -124,12 +123,12 @@
 	c.heal()
 }
 
-// randomDuration draws a duration below a limit.
+// randomDuration returns a random duration below a limit.
 func (c *campaign) randomDuration(limit time.Duration) time.Duration {
 	return time.Duration(c.random.Int64N(int64(limit)))
 }
 
-// client proposes one command after another.
+// client starts a client, which proposes one command after another.
 func (c *campaign) client(number int) {
 	var next func()
 	next = func() {
@@ -143,11 +142,11 @@
 	c.after(c.randomDuration(time.Second), next)
 }
 
-// maxAttempts is how often a client proposes one command before it gives up.
+// maxAttempts is the number of times that a client proposes a command before it gives up.
 const maxAttempts = 6
 
-// attempt proposes a command through a node that was attempted least often, and after a second without an
-// answer through another one.
+// attempt proposes a command through one of the nodes that were attempted least often. After a second without an
+// answer it proposes the command through another node.
 func (c *campaign) attempt(id string, attempted []*simulatedNode, done func()) {
 	if c.now > c.end {
 		return
@@ -182,7 +181,7 @@
 	})
 }
 
-// nextNode draws a node that serves, of those attempted least often; nil if none serves.
+// nextNode returns a random serving node out of those attempted least often, or nil if no node serves.
 func (c *campaign) nextNode(attempted []*simulatedNode) *simulatedNode {
 	least := maxAttempts
 	var nodes []*simulatedNode
@@ -206,8 +205,8 @@
 	return nodes[c.random.IntN(len(nodes))]
 }
 
-// retryLater sometimes proposes an acknowledged command again, at once or hundreds of commands later: it must
-// get the same outcome or none.
+// retryLater sometimes proposes an acknowledged command again, at once or up to hundreds of commands later. The
+// repetition must get the same outcome or none.
 func (c *campaign) retryLater(id string) {
 	if c.noRetries || c.random.IntN(16) != 0 {
 		return
@@ -219,7 +218,7 @@
 	})
 }
 
-// monitor checks the nodes' staleness bounds every 20 ms.
+// monitor checks the staleness bounds of all nodes every 20 ms.
 func (c *campaign) monitor() {
 	c.checkStaleness()
 	if c.now < c.end {
@@ -227,8 +226,8 @@
 	}
 }
 
-// duel has several members propose views within milliseconds, with or without a reason, and sometimes kills
-// one of them meanwhile.
+// duel makes several members propose views within milliseconds of each other, with or without a reason, and sometimes
+// kills a member at that time.
 func (c *campaign) duel() {
 	if c.now > c.end {
 		return
@@ -253,7 +252,7 @@
 	}
 	pause := 600 * time.Millisecond
 	if c.bug == bugAcceptedValueIgnored || c.bug == onlyDuels {
-		pause = 60 * time.Millisecond // it takes many duels
+		pause = 60 * time.Millisecond // many duels are needed to find the bug
 	}
 	c.after(c.randomDuration(pause), c.duel)
 }
@@ -273,7 +272,7 @@
 	return true
 }
 
-// completeIn reports whether a member runs and has, on its disk, the complete prefix of an epoch.
+// completeIn reports whether a member runs and has the complete prefix of an epoch on its disk.
 func (c *campaign) completeIn(m view.Member, epoch uint64) bool {
 	n := c.ownerOf(m)
 	return n != nil && n.up && !n.removed && n.core.self.Same(m) && n.disk.shadow.synced == epoch
@@ -289,7 +288,7 @@
 	return len(c.partitions) == 0
 }
 
-// restart starts a machine's process after a time, unless it is running by then.
+// restart schedules a start of a machine's process, which is skipped if the process was started in the meantime.
 func (c *campaign) restart(n *simulatedNode, after time.Duration) {
 	incarnation := n.incarnation
 	c.after(after, func() {
@@ -316,7 +315,7 @@
 	last := c.members()[0]
 	last.propose("last", func(chain.Outcome) { done = true })
 	if !c.runWhile(2*time.Second, func() bool { return !done }) {
-		c.failf("no command is acknowledged after all faults")
+		c.failf("a command proposed after the end of all faults isn't acknowledged within 2 s")
 	}
 	c.runUntil(c.now + 2*time.Second)
 	c.checkStaleness()
@@ -325,12 +324,12 @@
 	voters := len(last.core.view().Voters)
 	enough := min(2*c.tolerance+1, len(c.members()))
 	if chainLength := len(last.core.view().Chain); chainLength != voters || voters < enough {
-		c.failf("after all faults the chain has %d members, %d voters", chainLength, voters)
+		c.failf("after all faults the chain has %d members and the view %d voters: too few", chainLength, voters)
 	}
 }
 
-// checkCommands checks that all acknowledged commands were applied, each command once, and none whose callers
-// were all told that it never left its node.
+// checkCommands checks that all acknowledged commands were applied, that no command was applied twice, and that no
+// command was applied for which all calls reported that it never left its node.
 func (c *campaign) checkCommands(commands []string) {
 	positions := make(map[string]int)
 	for i, command := range commands {
@@ -339,7 +338,7 @@
 		}
 		positions[command] = i
 		if record := c.callers[command]; record != nil && record.calls == record.unsent {
-			c.failf("command %s was applied, and its caller was told that it never left its node", command)
+			c.failf("command %s was applied, but all its calls reported that it never left its node", command)
 		}
 	}
 	for id := range c.acked {
@@ -361,7 +360,7 @@
 		}
 		for i, command := range reference.stateMachine.commands {
 			if n.stateMachine.commands[i] != command {
-				c.failf("%s and %s differ at %d", n.name, reference.name, i)
+				c.failf("%s and %s differ at command %d", n.name, reference.name, i)
 			}
 		}
 	}
--- a/coord/replica/cluster_test.go
+++ b/coord/replica/cluster_test.go
@@ -11,11 +11,11 @@
 	"sprucelane.example/sprucelane/coord/view"
 )
 
-// link is one direction between two addresses.
+// link is one direction of the connection between two addresses.
 type link struct{ from, to string }
 
-// simulatedCluster is a set of machines with links and disks in virtual time. All that happens follows from
-// the seed: a change of the order of its draws makes another run of each seed.
+// simulatedCluster is a set of machines with links and disks in virtual time. The seed determines all events: if the
+// order of random draws changes, each seed gives a different run.
 type simulatedCluster struct {
 	random *rand.Rand
 	seed   uint64
@@ -24,42 +24,42 @@
 	seeds  []string // coordination addresses of the founders
 
 	tolerance        int
-	retainedCommands int           // that state machines keep; 0: all
-	checkpointAt     int64         // size of the disk's log, in bytes, at which a checkpoint is written
-	syncTime         time.Duration // about the duration of a sync
+	retainedCommands int           // number of commands that state machines keep; 0: all
+	checkpointAt     int64         // size of the disk's log, in bytes, above which a checkpoint is written
+	syncTime         time.Duration // average duration of a sync
 
 	now      time.Duration
 	queue    eventQueue
-	sequence int // of events
+	sequence int // number of the last scheduled event
 	nodes    []*simulatedNode
 
-	unordered         bool                   // messages are reordered, repeated and lost
-	partitions        map[link]int           // how many faults partition a link
-	bufferPartitioned bool                   // messages sent meanwhile arrive later, as from TCP's buffers
-	buffered          map[link][]func()      // those messages
-	resets            map[link]int           // how often connections were reset
+	unordered         bool                   // messages are reordered, duplicated and lost
+	partitions        map[link]int           // number of faults that partition a link
+	bufferPartitioned bool                   // messages on a partitioned link arrive later, as from TCP's buffers
+	buffered          map[link][]func()      // deliver the buffered messages of partitioned links
+	resets            map[link]int           // number of resets of the connection
 	lastArrival       map[link]time.Duration // keeps the messages of a link in order
 
-	// What has happened, for the checks.
-	applied    map[uint64]string        // by index
-	views      map[uint64]string        // by epoch
-	decidedAt  map[uint64]time.Duration // by epoch: when the view was first adopted
-	acked      map[string]uint64        // command ID: index
+	// History of the run, for the checks.
+	applied    map[uint64]string        // applied command by index
+	views      map[uint64]string        // description of the adopted view by epoch
+	decidedAt  map[uint64]time.Duration // when the view was first adopted, by epoch
+	acked      map[string]uint64        // index of the acknowledged command by ID
 	ackHistory []acknowledgement
 	callers    map[string]*callerRecord // by command ID
 	lostDisks  []lostDisk
-	transfers  map[string]int // prefix transfers by receiver, incarnation and epoch
+	transfers  map[string]int // number of prefix transfers by receiver, incarnation and epoch
 	noRetries  bool           // no caller proposes a command twice
 	trace      []string
 	onAck      func(n *simulatedNode, id string)
 	onTransfer func(from, to *simulatedNode) // called once, when a prefix transfer is sent
 
-	messages         int // sent
-	transferredBytes int // in prefix transfers
-	recoveries       int // starts from a disk that wasn't empty
+	messages         int // number of messages sent
+	transferredBytes int // bytes sent in prefix transfers
+	recoveries       int // number of starts from a disk that wasn't empty
 }
 
-// newSimulatedCluster returns a cluster of machines with disks that aren't started.
+// newSimulatedCluster returns a cluster of machines with disks. The machines aren't started.
 func newSimulatedCluster(seed uint64, machines, tolerance int) *simulatedCluster {
 	sim := &simulatedCluster{
 		random:       rand.New(rand.NewPCG(seed, 77)),
@@ -88,7 +88,7 @@
 	return sim
 }
 
-// startSimulatedCluster founds a cluster; its machines start within 300 ms.
+// startSimulatedCluster returns a new cluster whose machines start within 300 ms.
 func startSimulatedCluster(seed uint64, machines, tolerance int) *simulatedCluster {
 	sim := newSimulatedCluster(seed, machines, tolerance)
 	for _, n := range sim.nodes {
@@ -97,7 +97,7 @@
 	return sim
 }
 
-// addNode adds a machine that isn't started.
+// addNode adds a machine, with or without a disk, and doesn't start it.
 func (sim *simulatedCluster) addNode(disk bool) *simulatedNode {
 	number := len(sim.nodes)
 	n := &simulatedNode{sim: sim, name: fmt.Sprintf("n%d", number), address: fmt.Sprintf("10.0.0.%d:70", number)}
@@ -109,10 +109,10 @@
 	return n
 }
 
-// failure is what a failed check panics with: the seed, the moment, what is wrong, and the trace.
+// failure is the panic value of a failed check: the seed, the time, the violation, and the trace.
 type failure string
 
-// failf ends the run with a failure. A failure among the arguments is passed on as it is.
+// failf ends the run by a panic with a failure. If one of the arguments already is a failure, that is the panic value.
 func (sim *simulatedCluster) failf(format string, arguments ...any) {
 	for _, argument := range arguments {
 		if already, ok := argument.(failure); ok && strings.HasPrefix(string(already), "seed ") {
@@ -164,7 +164,7 @@
 	return true
 }
 
-// currentSeeds returns the seeds that a starting process is given: the founders at first, later any three
+// currentSeeds returns the seeds for a starting process: the founders if it bootstraps the system, else any three
 // machines.
 func (sim *simulatedCluster) currentSeeds(bootstrap bool) []string {
 	if bootstrap {
@@ -202,7 +202,7 @@
 	}
 }
 
-// partitionedLinks lists the partitioned links, in the same order in each run.
+// partitionedLinks returns the partitioned links, in the same order in each run of a seed.
 func (sim *simulatedCluster) partitionedLinks() []link {
 	var links []link
 	for _, from := range sim.nodes {
@@ -215,7 +215,7 @@
 	return links
 }
 
-// releaseBuffered delivers what a partition has delayed.
+// releaseBuffered ends the partition of a link and delivers the messages that it has delayed.
 func (sim *simulatedCluster) releaseBuffered(direction link) {
 	delete(sim.partitions, direction)
 	arrivals := sim.buffered[direction]
@@ -235,14 +235,14 @@
 	return nil
 }
 
-// deliver sends a message, which arrives within milliseconds.
+// deliver sends a message. Unless the run has unordered messages, it arrives within a few milliseconds.
 func (sim *simulatedCluster) deliver(from *simulatedNode, m envelope) {
 	to := sim.nodeAt(m.to.Address)
 	if to == nil || !to.up {
 		return
 	}
-	m, goes := sim.injectIntoMessage(from, to, m)
-	if !goes {
+	m, deliverable := sim.injectIntoMessage(from, to, m)
+	if !deliverable {
 		return
 	}
 	sim.messages++
@@ -257,8 +257,8 @@
 			delay += time.Duration(sim.random.Int64N(int64(50 * time.Millisecond)))
 		}
 		if sim.random.IntN(50) == 0 {
-			again := delay + time.Duration(sim.random.Int64N(int64(2*time.Second)))
-			sim.after(again, func() { sim.arrive(from, to, to.incarnation, m) })
+			repeatDelay := delay + time.Duration(sim.random.Int64N(int64(2*time.Second)))
+			sim.after(repeatDelay, func() { sim.arrive(from, to, to.incarnation, m) })
 		}
 	} else {
 		at := max(sim.now+delay, sim.lastArrival[direction])
@@ -282,13 +282,13 @@
 	sim.transferredBytes += transferBytes(body)
 	sim.checkTransfers(to, body.Epoch)
 	if sim.onTransfer != nil {
-		act := sim.onTransfer
+		callback := sim.onTransfer
 		sim.onTransfer = nil
-		sim.after(0, func() { act(from, to) })
+		sim.after(0, func() { callback(from, to) })
 	}
 }
 
-// transferBytes returns about how many bytes a prefix transfer has.
+// transferBytes returns the approximate size of a prefix transfer in bytes.
 func transferBytes(body PrefixTransfer) int {
 	size := 0
 	if body.Image != nil {
@@ -303,7 +303,7 @@
 	return size
 }
 
-// arrive hands a message to its receiver, if that is still the same process.
+// arrive passes a message to its receiver, if the receiver is still the same process.
 func (sim *simulatedCluster) arrive(from, to *simulatedNode, incarnation int, m envelope) {
 	if to.incarnation != incarnation || !to.up {
 		return
@@ -322,8 +322,8 @@
 	to.handle(func() { to.core.step(sim.now, sender, m.body) })
 }
 
-// buffer keeps a message that meets a partition until its end, if the run simulates kernels' buffers. It is
-// lost if either process ends before, or the connection is reset.
+// buffer keeps a message on a partitioned link until the end of the partition, if the run simulates the buffers of the
+// kernel. The message is lost if one of the processes ends before, or if the connection is reset.
 func (sim *simulatedCluster) buffer(direction link, from, to *simulatedNode, m envelope) {
 	if !sim.bufferPartitioned {
 		return
@@ -336,7 +336,7 @@
 	})
 }
 
-// servingNodes returns the nodes that run, aren't paused and don't reject calls because of their disk.
+// servingNodes returns the nodes that run, aren't paused, and don't reject calls because of an unhealthy disk.
 func (sim *simulatedCluster) servingNodes() []*simulatedNode {
 	var nodes []*simulatedNode
 	for _, n := range sim.nodes {
@@ -358,7 +358,7 @@
 	return nodes
 }
 
-// newestView returns the running machine that knows the newest view; nil if none runs.
+// newestView returns the running machine that knows the newest view, or nil if none runs.
 func (sim *simulatedCluster) newestView() *simulatedNode {
 	var newest *simulatedNode
 	for _, n := range sim.members() {
@@ -369,7 +369,7 @@
 	return newest
 }
 
-// ownerOf returns the machine whose disk is this member's, nil if the disk is lost.
+// ownerOf returns the machine that has the disk of a member, or nil if the disk is lost.
 func (sim *simulatedCluster) ownerOf(m view.Member) *simulatedNode {
 	for _, n := range sim.nodes {
 		if n.disk != nil && !n.disk.empty() && n.disk.shadow.self.Same(m) {
--- a/coord/replica/delayed_messages_test.go
+++ b/coord/replica/delayed_messages_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// compactedCluster returns three machines with some acknowledged commands, whose logs were compacted
-// completely.
+// compactedCluster returns a cluster of three machines with acknowledged commands. All but the last command are
+// compacted away from their logs.
 func compactedCluster(t *testing.T, seed uint64) *simulatedCluster {
 	sim := startSimulatedCluster(seed, 3, 1)
 	sim.limits.retainedLogBytes = 0
@@ -23,8 +23,8 @@
 	return sim
 }
 
-// TestLatePrefixRequest repeats a request for the prefix long after the member got it and the source's log
-// was compacted.
+// TestLatePrefixRequest delivers a duplicate prefix request long after the requester received the prefix, when the
+// source's log has been compacted.
 func TestLatePrefixRequest(t *testing.T) {
 	sim := compactedCluster(t, 30)
 	source, requester := sim.nodes[0], sim.nodes[1].core.self
@@ -32,7 +32,8 @@
 	sim.mustAcknowledge(t, sim.nodes[1], "after", time.Second)
 }
 
-// TestLateAck delivers an old Ack to the head, whose sender lacked then what the head has compacted since.
+// TestLateAck delivers a delayed Ack to the head. It reports an index beyond which the head's log has been compacted
+// since.
 func TestLateAck(t *testing.T) {
 	sim := compactedCluster(t, 31)
 	head, successor := sim.nodes[0], sim.nodes[1].core.self
@@ -43,8 +44,8 @@
 	sim.mustAcknowledge(t, sim.nodes[1], "after", time.Second)
 }
 
-// TestLateAckBeforeAnyOther delivers an old Ack to a head that doesn't know its successor's last index, as
-// after its disk refused writes.
+// TestLateAckBeforeAnyOther delivers a delayed Ack to a head that doesn't know its successor's last index, as is the
+// case after its disk was reopened.
 func TestLateAckBeforeAnyOther(t *testing.T) {
 	sim := compactedCluster(t, 36)
 	head, successor := sim.nodes[0], sim.nodes[1].core.self
@@ -56,8 +57,8 @@
 	sim.mustAcknowledge(t, sim.nodes[1], "after", time.Second)
 }
 
-// TestCommandFromEarlierView delivers a command to the head that was forwarded before its view. The head
-// drops it: the node where it was proposed forwards it again if its caller still waits.
+// TestCommandFromEarlierView delivers to the head a command that was forwarded in an earlier view. The head must drop
+// it: the node where it was proposed forwards it again if its caller still waits.
 func TestCommandFromEarlierView(t *testing.T) {
 	sim := startSimulatedCluster(32, 3, 1)
 	sim.runUntil(2 * time.Second)
@@ -65,20 +66,20 @@
 	sim.runUntil(4 * time.Second)
 	head := sim.nodes[0]
 	if head.core.epoch() != 2 {
-		t.Fatalf("epoch %d", head.core.epoch())
+		t.Fatalf("the head is in epoch %d, want 2", head.core.epoch())
 	}
 	sender := sim.nodes[1].core.self
 	head.handle(func() { head.core.step(sim.now, sender, Forward{ID: "late", Order: []byte("late"), Epoch: 1}) })
 	sim.mustAcknowledge(t, sim.nodes[1], "after", time.Second)
 	for _, command := range head.stateMachine.commands {
 		if command == "late" {
-			t.Error("a command from before the view was appended")
+			t.Error("a command that was forwarded in an earlier view was appended")
 		}
 	}
 }
 
-// TestCommandDeferredByPausedHead has a command wait at a head that is paused during a change of the view,
-// until its caller has given up: the head must not forward it to the next head.
+// TestCommandDeferredByPausedHead delivers a command to a head that is paused during a change of the view until the
+// command's caller has given up. After it resumes, the head must not forward the command to the next head.
 func TestCommandDeferredByPausedHead(t *testing.T) {
 	sim := startSimulatedCluster(35, 3, 1)
 	sim.runUntil(2 * time.Second)
@@ -94,13 +95,13 @@
 	sim.runUntil(sim.now + 2*time.Second)
 	for _, command := range sim.nodes[1].stateMachine.commands {
 		if command == "held" {
-			t.Error("a command was appended that a paused head had deferred")
+			t.Error("a command that a paused head had deferred was appended")
 		}
 	}
 }
 
-// TestCommandBeyondDeduplicationWindow delivers a command again whose first outcome has left the
-// deduplication window.
+// TestCommandBeyondDeduplicationWindow delivers a command again after its outcome has left the deduplication window.
+// The command must not be applied a second time.
 func TestCommandBeyondDeduplicationWindow(t *testing.T) {
 	sim := startSimulatedCluster(33, 3, 1)
 	sim.limits.deduplicationWindow = 8
@@ -123,22 +124,22 @@
 		}
 	}
 	if times != 1 {
-		t.Errorf("the command was applied %d times", times)
+		t.Errorf("the command was applied %d times, want once", times)
 	}
 }
 
-// TestPendingProposalMissedBySnapshot has a member wait for a command whose outcome is missing in the
-// snapshot that it is sent, because the deduplication window has moved on: the command must not be appended
-// again.
+// TestPendingProposalMissedBySnapshot pauses a member that has a pending proposal. When it resumes, it is sent a
+// snapshot without the outcome of the command, because the outcome has left the deduplication window. The member must
+// not cause the command to be appended again.
 func TestPendingProposalMissedBySnapshot(t *testing.T) {
 	sim := startSimulatedCluster(34, 3, 1)
 	sim.limits.deduplicationWindow = 8
 	sim.limits.retainedLogBytes = 0
 	sim.runUntil(2 * time.Second)
-	away, head := sim.nodes[2], sim.nodes[0]
-	away.propose("missed", nil)
+	absent, head := sim.nodes[2], sim.nodes[0]
+	absent.propose("missed", nil)
 	sim.runUntil(sim.now + 2*time.Millisecond)
-	away.pause()
+	absent.pause()
 	sim.runUntil(sim.now + 3*time.Second)
 	for i := range 30 {
 		sim.mustAcknowledge(t, head, fmt.Sprint("order-", i), time.Second)
@@ -147,7 +148,7 @@
 		n.handle(func() { n.core.checkpointDue = true })
 	}
 	sim.runUntil(sim.now + 100*time.Millisecond)
-	away.resume()
+	absent.resume()
 	sim.runUntil(sim.now + 5*time.Second)
 	times := 0
 	for _, command := range head.stateMachine.commands {
@@ -156,39 +157,39 @@
 		}
 	}
 	if times != 1 {
-		t.Errorf("the command was applied %d times", times)
+		t.Errorf("the command was applied %d times, want once", times)
 	}
 }
 
-// TestChainStaysLongEnough has a member depart while another one was paused shortly before, and the third
-// lose its disk. Had the view left one member in the chain, no remaining log would show what that one had
-// committed.
+// TestChainStaysLongEnough makes one member depart shortly after another one was paused; the third member then loses
+// its disk. The view must not reduce the chain to one member, because no remaining log would contain the commands that
+// this member had committed alone.
 func TestChainStaysLongEnough(t *testing.T) {
 	for seed := uint64(0); seed < 20; seed++ {
 		sim := startSimulatedCluster(40+seed, 3, 1)
 		sim.runUntil(2*time.Second + time.Duration(seed)*20*time.Millisecond)
 		sim.mustAcknowledge(t, sim.nodes[0], "before", time.Second)
-		kept, leaving, paused := sim.nodes[0], sim.nodes[1], sim.nodes[2]
+		staying, leaving, paused := sim.nodes[0], sim.nodes[1], sim.nodes[2]
 		paused.pause()
 		sim.runUntil(sim.now + time.Duration(seed)*50*time.Millisecond)
 		leaving.handle(func() { leaving.core.leave(sim.now, func() {}) })
 		sim.runUntil(sim.now + 1500*time.Millisecond)
-		if length := len(kept.core.view().Chain); length < 2 {
-			t.Errorf("seed %d: the chain of epoch %d has %d members", seed, kept.core.epoch(), length)
+		if length := len(staying.core.view().Chain); length < 2 {
+			t.Errorf("seed %d: the chain of epoch %d has %d members, want at least 2", seed, staying.core.epoch(), length)
 		}
 		leaving.kill()
-		kept.wipe()
+		staying.wipe()
 		sim.runUntil(sim.now + 500*time.Millisecond)
 		leaving.start(false)
-		kept.start(false)
+		staying.start(false)
 		paused.resume()
 		sim.runUntil(sim.now + 3*time.Second)
 		sim.mustAcknowledge(t, paused, "after", 2*time.Second)
 	}
 }
 
-// TestLeavingMemberIsReplaced has a member depart for good while a spare waits: once it is out, the loss of
-// another disk is tolerated.
+// TestLeavingMemberIsReplaced makes a member depart permanently while a spare is available. Once the member has left
+// the chain, the loss of another disk must be tolerated.
 func TestLeavingMemberIsReplaced(t *testing.T) {
 	for seed := uint64(0); seed < 30; seed++ {
 		sim := startSimulatedCluster(60+seed, 4, 1)
@@ -198,11 +199,11 @@
 		left := false
 		leaving.handle(func() { leaving.core.leave(sim.now, func() { left = true }) })
 		if !sim.runWhile(time.Second, func() bool { return !left }) {
-			t.Fatalf("seed %d: the departing member isn't out after a second", seed)
+			t.Fatalf("seed %d: the departing member hasn't left within a second", seed)
 		}
 		v := leaving.core.view()
 		if v.IsVoter(leaving.core.self) {
-			t.Errorf("seed %d: the departed member votes", seed)
+			t.Errorf("seed %d: the departed member is still a voter", seed)
 		}
 		complete := 0
 		for _, n := range sim.nodes {
@@ -211,7 +212,7 @@
 			}
 		}
 		if complete != len(v.Chain) || complete != 3 {
-			t.Errorf("seed %d: %d of %d members are complete when the other one leaves", seed, complete, len(v.Chain))
+			t.Errorf("seed %d: %d of %d members have the prefix after the departure, want 3", seed, complete, len(v.Chain))
 		}
 		leaving.kill()
 		leaving.removed = true
--- a/coord/replica/departure_test.go
+++ b/coord/replica/departure_test.go
@@ -7,11 +7,11 @@
 	"sprucelane.example/sprucelane/coord/view"
 )
 
-// departureWait is how long a process waits for its planned departure before it ends all the same.
+// departureWait is how long a process waits for its planned departure before it ends without it.
 const departureWait = 2 * time.Second
 
-// leave has a machine depart as planned: it leaves the chain and its process ends. done gets whether it was
-// out by then.
+// leave starts a planned departure of a machine: it leaves the chain, and then its process ends. done receives whether
+// the machine had left the chain by then.
 func (n *simulatedNode) leave(done func(out bool)) {
 	sim := n.sim
 	incarnation, ended := n.incarnation, false
@@ -47,10 +47,11 @@
 	sim.after(departureWait, func() { end(false, view.View{}) })
 }
 
-// checkLeave checks that a member that ends as planned isn't needed any more: it is out of the chain, and all
-// of the chain of the view in which it found that it may end has the complete prefix, unless the member has
-// waited departureTimeout. A message that the member handled right after may have brought a later view, whose
-// chain need not have completed its prefix yet.
+// checkLeave checks that a member whose process ends after a planned departure is no longer needed: it is out of the
+// chain, and all members of the chain of departedIn, the view in which its departure completed, have the complete
+// prefix, unless the member has waited for departureTimeout. The prefixes are checked for departedIn instead of the
+// current view, because a message that the member handled afterwards may have brought a later view, whose chain need
+// not have the complete prefix yet.
 func (n *simulatedNode) checkLeave(departedIn view.View) {
 	sim, c := n.sim, n.core
 	if c.departedAt > 0 && sim.now-c.departedAt > departureTimeout {
@@ -61,12 +62,12 @@
 	}
 	for _, m := range departedIn.Chain {
 		if holder := sim.ownerOf(m); holder != nil && holder.disk.shadow.synced < departedIn.Epoch {
-			sim.failf("%s ends as planned, and %s isn't complete in epoch %d", n.name, holder.name, departedIn.Epoch)
+			sim.failf("%s ends as planned, but %s lacks the prefix of epoch %d", n.name, holder.name, departedIn.Epoch)
 		}
 	}
 }
 
-// endEarly is an injected bug: it ends a member as soon as it is out of the chain.
+// endEarly implements bugDepartEarly: it ends a departing member's process as soon as the member is out of the chain.
 func (n *simulatedNode) endEarly(incarnation int, end func(out bool, departedIn view.View)) {
 	switch {
 	case n.incarnation != incarnation:
@@ -77,7 +78,7 @@
 	}
 }
 
-// injectDeparture has a machine depart as planned, and return later.
+// injectDeparture makes a machine depart as planned, and return later.
 func (c *campaign) injectDeparture(lost []*simulatedNode, down time.Duration) {
 	n := lost[0]
 	n.leave(func(bool) {
@@ -86,38 +87,37 @@
 	})
 }
 
-// injectDepartureAndWipe has a machine depart as planned, and others lose their disks meanwhile or right
-// after: nothing is lost, and the chain goes on once the first has returned.
+// injectDepartureAndWipe makes a machine depart as planned, while others lose their disks during the departure or right
+// after it. No acknowledged command may be lost, and the chain must be complete again once the machine has returned.
 func (c *campaign) injectDepartureAndWipe(lost []*simulatedNode, down time.Duration) {
 	leaving := c.chainMemberExcept(lost)
 	if leaving == nil {
 		c.injectWipe(lost, down)
 		return
 	}
-	over := departureWait + down
+	faultDuration := departureWait + down
 	leaving.leave(func(bool) { c.restart(leaving, down) })
 	c.after(c.randomDuration(400*time.Millisecond), func() { c.wipeAll(lost, down) })
-	c.expectComplete(over)
-	c.scheduleNextFault(over)
+	c.expectComplete(faultDuration)
+	c.scheduleNextFault(faultDuration)
 }
 
-// chainMemberExcept returns a running machine of the newest chain that isn't among the others; nil if there
-// is none.
+// chainMemberExcept returns a running machine of the newest chain that isn't in lost, or nil if there is none.
 func (c *campaign) chainMemberExcept(lost []*simulatedNode) *simulatedNode {
 	for _, n := range c.members() {
-		taken := !n.up || c.newestView() == nil || !c.newestView().core.view().InChain(n.core.self)
+		excluded := !n.up || c.newestView() == nil || !c.newestView().core.view().InChain(n.core.self)
 		for _, other := range lost {
-			taken = taken || other == n
+			excluded = excluded || other == n
 		}
-		if !taken {
+		if !excluded {
 			return n
 		}
 	}
 	return nil
 }
 
-// afterReplacement calls then as soon as a machine that departed for good isn't needed any more: at once if
-// its departure was complete, else when its replacement has the complete prefix.
+// afterReplacement calls then soon after a machine that departed permanently is no longer needed: immediately if its
+// departure was complete and it isn't a voter any more, else once it isn't a voter and the chain is complete.
 func (c *campaign) afterReplacement(left *simulatedNode, out bool, then func()) {
 	newest := c.newestView()
 	needed := newest == nil || newest.core.view().IsVoter(left.core.self)
@@ -128,8 +128,8 @@
 	c.after(5*time.Millisecond, func() { c.afterReplacement(left, false, then) })
 }
 
-// injectPlannedReplacement adds a machine, has another one depart for good, and has others lose their disks
-// once that one has departed, or once its time is over.
+// injectPlannedReplacement adds a machine and makes another one depart permanently. Others lose their disks once the
+// departed machine is no longer needed, whether its departure was complete or was ended after departureWait.
 func (c *campaign) injectPlannedReplacement(lost []*simulatedNode, down time.Duration) {
 	leaving := c.chainMemberExcept(lost)
 	if leaving == nil {
@@ -150,8 +150,8 @@
 	})
 }
 
-// TestPlannedDeparture checks that a member that departs as planned is out of the chain at once, and that the
-// others go on without a pause.
+// TestPlannedDeparture checks that a member in a planned departure leaves the chain within 200 ms, that a command of
+// another member is then acknowledged within 400 ms, and that the member isn't added to the chain again.
 func TestPlannedDeparture(t *testing.T) {
 	for position := 0; position < 3; position++ {
 		for seed := uint64(0); seed < 50; seed++ {
@@ -172,7 +172,7 @@
 					left = true
 					for _, n := range sim.nodes {
 						if n.core.epoch() < leaving.core.epoch() {
-							sim.failf("%s ends, and %s doesn't know of the view without it", leaving.name, n.name)
+							sim.failf("%s has departed, but %s doesn't know the view without it", leaving.name, n.name)
 						}
 					}
 				}
@@ -182,14 +182,14 @@
 				sim.failf("%s is in the chain 200 ms after it asked to leave", leaving.name)
 			}
 			if took := sim.mustAcknowledge(t, staying, "after", time.Second); took > 400*time.Millisecond {
-				t.Errorf("place %d, seed %d: next command after %v", position, seed, took)
+				t.Errorf("position %d, seed %d: next command took %v, want at most 400 ms", position, seed, took)
 			}
 			sim.runUntil(sim.now + 3*time.Second)
 			if !left {
-				sim.failf("%s is not told of its departure", leaving.name)
+				sim.failf("onDeparted of %s wasn't called", leaving.name)
 			}
 			if leaving.core.inChain() {
-				sim.failf("a departing member was let in again")
+				sim.failf("the departed member was added to the chain again")
 			}
 		}
 	}
--- a/coord/replica/event_queue_test.go
+++ b/coord/replica/event_queue_test.go
@@ -4,15 +4,15 @@
 	"time"
 )
 
-// scheduledEvent is something that happens at a moment of virtual time. Events of one moment happen in the
-// order in which they were scheduled.
+// scheduledEvent is an event at a moment of virtual time. Events of the same moment are executed in the order in which
+// they were scheduled.
 type scheduledEvent struct {
 	at       time.Duration
 	sequence int
 	run      func()
 }
 
-// eventQueue is a heap of events.
+// eventQueue is a heap of events, ordered by time. It implements heap.Interface.
 type eventQueue []*scheduledEvent
 
 func (q eventQueue) Len() int { return len(q) }
--- a/coord/replica/example_test.go
+++ b/coord/replica/example_test.go
@@ -12,7 +12,8 @@
 	"sprucelane.example/sprucelane/coord/transport"
 )
 
-// greeting is a state machine that holds one text. The lock is for readers outside of the node.
+// greeting is a state machine that holds one text. The mutex is needed because read is called by other goroutines than
+// the node's.
 type greeting struct {
 	mutex sync.Mutex
 	text  string
@@ -45,7 +46,7 @@
 	return g.text
 }
 
-// One machine founds a system, takes two commands, and recovers them after a restart.
+// This example bootstraps a system of one machine, proposes two commands, and reads the state after a restart.
 func Example() {
 	folder, err := os.MkdirTemp("", "replica")
 	if err != nil {
--- a/coord/replica/failover_test.go
+++ b/coord/replica/failover_test.go
@@ -9,8 +9,8 @@
 	"sprucelane.example/sprucelane/coord/chain"
 )
 
-// failover returns the time from the loss of the member at a position of the chain to the next
-// acknowledgement, of a command proposed through another member at a random moment soon after.
+// failover returns the time from the loss of the member at a position of the chain to the next acknowledgement. The
+// acknowledged command is proposed through another member, up to 20 ms after the loss.
 func failover(t *testing.T, seed uint64, position int, lose func(*simulatedNode)) time.Duration {
 	sim := startSimulatedCluster(seed, 3, 1)
 	sim.runUntil(2*time.Second + time.Duration(sim.random.Int64N(int64(time.Second))))
@@ -30,12 +30,12 @@
 	done := false
 	other.propose("after", func(chain.Outcome) { done = true })
 	if !sim.runWhile(5*time.Second, func() bool { return !done }) {
-		sim.failf("no acknowledgement after the loss")
+		sim.failf("no acknowledgement within 5 s after the loss")
 	}
 	return sim.now - lost
 }
 
-// maxFailoverTime is the time within which a command is acknowledged after a single loss.
+// maxFailoverTime is the maximum time from a single loss to the next acknowledgement.
 const maxFailoverTime = 1500 * time.Millisecond
 
 // TestFailover measures and bounds the unavailability after a single loss.
@@ -55,13 +55,13 @@
 			t.Logf("%s of the %s: p50 %v, p99 %v, worst %v", name, title,
 				times[len(times)/2], times[len(times)*99/100], worst)
 			if worst > maxFailoverTime {
-				t.Errorf("%s of the %s: worst %v", name, title, worst)
+				t.Errorf("%s of the %s: worst %v, more than maxFailoverTime", name, title, worst)
 			}
 		}
 	}
 }
 
-// TestCommandCost measures syncs, bytes and messages for each command while nothing fails.
+// TestCommandCost measures the syncs, written bytes, messages and latency of a command without faults.
 func TestCommandCost(t *testing.T) {
 	for _, parallel := range []int{1, 16} {
 		sim := startSimulatedCluster(5, 3, 1)
@@ -92,7 +92,7 @@
 			next(stream)
 		}
 		if !sim.runWhile(time.Minute, func() bool { return finished < commands }) {
-			sim.failf("%d commands finished", finished)
+			sim.failf("only %d commands finished within a minute", finished)
 		}
 		for _, n := range sim.nodes {
 			syncs += n.disk.syncs
--- a/coord/replica/faults_test.go
+++ b/coord/replica/faults_test.go
@@ -5,15 +5,15 @@
 	"time"
 )
 
-// faultKind is a kind of fault that the system must tolerate. inject causes it at some of the machines, for
-// about the duration down, and calls faultBegan once, at the moment at which the loss begins.
+// faultKind is a kind of fault that the system must tolerate. inject causes the fault at some of the machines, for
+// approximately the duration down, and calls faultBegan once, when the loss begins.
 type faultKind struct {
 	name   string
 	inject func(c *campaign, lost []*simulatedNode, down time.Duration)
 }
 
-// faultKinds are drawn with equal probability. Their order decides which one a seed draws. init fills them
-// in, since the functions refer to them in turn.
+// faultKinds are drawn with equal probability. Their order determines which of them a seed draws. They are set by init
+// because the functions refer to faultKinds themselves.
 var faultKinds []faultKind
 
 func init() {
@@ -44,7 +44,7 @@
 	}
 }
 
-// maxFaultDuration is about the longest duration of most faults.
+// maxFaultDuration is the approximate maximum duration of most faults.
 const maxFaultDuration = 3 * time.Second
 
 // injectFault injects one fault that the system must tolerate.
@@ -53,8 +53,8 @@
 		return
 	}
 	if !c.chainComplete() && (c.duels || c.backToBack) {
-		// Endless duels may keep a machine that returned with an empty disk out of the voters. A further loss
-		// would then be one more than must be tolerated.
+		// Continuous duels may keep a machine that returned with an empty disk from becoming a voter. A further
+		// loss would then exceed the tolerance.
 		c.after(c.randomDuration(20*time.Millisecond), c.injectFault)
 		return
 	}
@@ -66,7 +66,7 @@
 	chosen.inject(c, lost, down)
 }
 
-// drawFault draws the kind of the next fault.
+// drawFault returns the kind of the next fault: a random one, or onlyFault.
 func (c *campaign) drawFault() faultKind {
 	if c.onlyFault == "" {
 		return faultKinds[c.random.IntN(len(faultKinds))]
@@ -76,11 +76,11 @@
 			return kind
 		}
 	}
-	panic("no fault of kind " + c.onlyFault)
+	panic("unknown kind of fault: " + c.onlyFault)
 }
 
-// scheduleNextFault has the next fault follow this one: after catchUpTime, or as soon as the chain is
-// complete.
+// scheduleNextFault schedules the next fault: catchUpTime after the end of this one or, if backToBack is set, as soon
+// as the chain is complete.
 func (c *campaign) scheduleNextFault(down time.Duration) {
 	if c.backToBack {
 		c.after(down, c.faultOnceComplete)
@@ -89,7 +89,8 @@
 	c.after(down+catchUpTime, c.injectFault)
 }
 
-// faultOnceComplete injects the next fault at the moment at which the chain is complete.
+// faultOnceComplete injects the next fault within 20 ms of the moment at which no fault is active and the chain is
+// complete.
 func (c *campaign) faultOnceComplete() {
 	if c.now > c.end-2*time.Second {
 		return
@@ -101,14 +102,14 @@
 	c.after(c.randomDuration(20*time.Millisecond), c.injectFault)
 }
 
-// faultBegan says that a loss has begun and how long it lasts.
+// faultBegan schedules the availability checks and the next fault. It is called when a loss begins that lasts for down.
 func (c *campaign) faultBegan(down time.Duration) {
 	c.expectAvailable(down)
 	c.scheduleNextFault(down)
 }
 
-// victims draws as many machines as may be lost: preferably voters, sometimes the head or the tail first, and
-// in some runs those whose disks have lasted longest.
+// victims returns the machines that the next fault affects, at most tolerance many. It prefers voters, for some faults
+// the head or the tail, and in some runs the machines with the oldest disks.
 func (c *campaign) victims() []*simulatedNode {
 	nodes := c.members()
 	c.random.Shuffle(len(nodes), func(i, j int) { nodes[i], nodes[j] = nodes[j], nodes[i] })
@@ -125,7 +126,7 @@
 	return nodes[:1+c.random.IntN(c.tolerance)]
 }
 
-// rankOf returns how a machine ranks among the victims; the lowest come first.
+// rankOf returns the rank of a machine as a victim: machines with a lower rank are preferred.
 func (c *campaign) rankOf(n, newest *simulatedNode) int {
 	v := newest.core.view()
 	role := c.faults % 3
@@ -162,7 +163,7 @@
 	c.faultBegan(down)
 }
 
-// wipeAll has machines lose their disks, and restart.
+// wipeAll kills machines, replaces their disks by empty ones, and restarts them after the duration down.
 func (c *campaign) wipeAll(lost []*simulatedNode, down time.Duration) {
 	for _, n := range lost {
 		n.wipe()
@@ -171,7 +172,7 @@
 	}
 }
 
-// slowDown sometimes makes the disk of a returning machine slow while the machine catches up.
+// slowDown sometimes makes the disk of a restarting machine slow until one second after the restart.
 func (c *campaign) slowDown(n *simulatedNode, down time.Duration) {
 	if c.random.IntN(4) != 0 {
 		return
@@ -185,8 +186,8 @@
 	c.faultBegan(down)
 }
 
-// atNextAck calls a function at the next acknowledgement.
-func (c *campaign) atNextAck(act func()) { c.onNextAck = act }
+// atNextAck registers a function that is called at the next acknowledgement.
+func (c *campaign) atNextAck(callback func()) { c.onNextAck = callback }
 
 func (c *campaign) injectWipeAtAck(lost []*simulatedNode, down time.Duration) {
 	c.atNextAck(func() {
@@ -212,7 +213,7 @@
 	c.faultBegan(down)
 }
 
-// longPartition is how long a machine may be partitioned.
+// longPartition is the maximum duration of the fault "long partition".
 const longPartition = 20 * time.Second
 
 func (c *campaign) injectLongPartition(lost []*simulatedNode, _ time.Duration) {
@@ -221,15 +222,15 @@
 	c.faultBegan(down)
 }
 
-// partitionNodes partitions machines from the others with a disk, one way or both, and sometimes from
-// learners, too.
+// partitionNodes partitions machines from the others with a disk, in one or both directions, and sometimes also from
+// the learners.
 func (c *campaign) partitionNodes(lost []*simulatedNode, down time.Duration) {
 	oneWay := c.random.IntN(3)
 	others := c.members()
 	if c.random.IntN(2) == 0 {
 		others = c.nodes
 	}
-	c.tracef("%s and %d more partitioned, kind %d", lost[0].name, len(lost)-1, oneWay)
+	c.tracef("%s and %d more are partitioned, kind %d", lost[0].name, len(lost)-1, oneWay)
 	for _, n := range lost {
 		n.partitioned, n.partitionedSince = true, c.now
 		for _, other := range others {
@@ -265,7 +266,7 @@
 	c.faultBegan(down)
 }
 
-// reset resets the connections between two machines: messages on their way are lost.
+// reset resets the connections between two random machines: messages in transit are lost.
 func (c *campaign) reset() {
 	nodes := c.members()
 	from, to := nodes[c.random.IntN(len(nodes))], nodes[c.random.IntN(len(nodes))]
@@ -273,13 +274,13 @@
 	c.resets[link{to.address, from.address}]++
 }
 
-// killAll ends all processes within milliseconds, by kills or a loss of power; the machines in wiped lose
-// their disks. It returns how long this takes until all have restarted.
+// killAll ends all processes within 4 ms, by kills or by a power loss; the machines in wiped lose their disks. It
+// returns the time until all have restarted.
 func (c *campaign) killAll(wiped []*simulatedNode, down time.Duration) time.Duration {
 	powerLoss := c.random.IntN(2) == 0
 	for _, n := range c.members() {
 		c.after(c.randomDuration(4*time.Millisecond), func() {
-			n.end("is one of all that end", powerLoss)
+			n.end("ends together with all others", powerLoss)
 			for _, other := range wiped {
 				if other == n {
 					n.wipe()
@@ -291,7 +292,7 @@
 	return down + 100*time.Millisecond
 }
 
-// endAll ends all processes. What is expected counts from when all have restarted.
+// endAll ends all processes. The availability checks start when all processes have restarted.
 func (c *campaign) endAll(wiped []*simulatedNode, down time.Duration) {
 	c.after(c.killAll(wiped, down), func() { c.faultBegan(0) })
 }
@@ -308,7 +309,7 @@
 	c.atNextAck(func() { c.endAll(lost, time.Second) })
 }
 
-// injectReplacement removes a machine for good; an empty one is added later at another address.
+// injectReplacement removes a machine permanently, and adds an empty one at another address later.
 func (c *campaign) injectReplacement(lost []*simulatedNode, down time.Duration) {
 	n := lost[0]
 	n.kill()
@@ -319,10 +320,10 @@
 	c.faultBegan(max(down, replacementTimeout))
 }
 
-// maxMachines bounds the machines of a run.
+// maxMachines is the number of machines with a disk at which injectAddition adds no more.
 const maxMachines = 8
 
-// injectAddition adds a machine, and has others lose their disks while it joins.
+// injectAddition adds a machine. Others lose their disks while it joins.
 func (c *campaign) injectAddition(lost []*simulatedNode, down time.Duration) {
 	if len(c.members()) < maxMachines {
 		added := c.addNode(true)
@@ -361,7 +362,7 @@
 	c.faultBegan(down)
 }
 
-// injectLongAbsence has a machine miss hundreds of commands, and return with an old snapshot and a torn log.
+// injectLongAbsence makes machines miss hundreds of commands, and return with an old snapshot and a torn log.
 func (c *campaign) injectLongAbsence(lost []*simulatedNode, _ time.Duration) {
 	const down = 3 * time.Second
 	c.maxThinkTime = busyThinkTime
@@ -376,7 +377,7 @@
 	})
 }
 
-// injectInterruptedTransfer has a machine return, and another fault happen during the prefix transfer that it
+// injectInterruptedTransfer restarts a machine and injects another fault during the prefix transfer that the machine
 // needs.
 func (c *campaign) injectInterruptedTransfer(lost []*simulatedNode, down time.Duration) {
 	n := lost[0]
@@ -386,16 +387,17 @@
 		n.losePower()
 	}
 	c.restart(n, down)
-	over := down + 2*time.Second
+	faultDuration := down + 2*time.Second
 	c.after(down, func() {
-		c.onTransfer = func(source, target *simulatedNode) { c.interruptTransfer(source, target, over-down) }
+		c.onTransfer = func(source, target *simulatedNode) { c.interruptTransfer(source, target, faultDuration-down) }
 	})
-	c.after(over, func() { c.onTransfer = nil })
-	c.expectComplete(over)
-	c.scheduleNextFault(over)
+	c.after(faultDuration, func() { c.onTransfer = nil })
+	c.expectComplete(faultDuration)
+	c.scheduleNextFault(faultDuration)
 }
 
-// interruptTransfer ends or holds up a prefix transfer, for less than a time.
+// interruptTransfer interrupts or delays a prefix transfer by a fault at its source, its target or the link between
+// them, for less than the duration within.
 func (c *campaign) interruptTransfer(source, target *simulatedNode, within time.Duration) {
 	down := 50*time.Millisecond + c.randomDuration(within/2)
 	kind := c.random.IntN(6)
--- a/coord/replica/golden_test.go
+++ b/coord/replica/golden_test.go
@@ -9,8 +9,7 @@
 	"sprucelane.example/sprucelane/internal/golden"
 )
 
-// TestGoldenDisk holds the records and the checkpoint on a member's disk to the form that earlier versions
-// wrote.
+// TestGoldenDisk checks that the records and the checkpoint on a member's disk are encoded as by earlier versions.
 func TestGoldenDisk(t *testing.T) {
 	golden.Gob[viewRecord](t, "disk-view")
 	golden.Gob[acceptorRecord](t, "disk-ballots")
@@ -22,12 +21,12 @@
 	recorded := golden.Bytes(t, "disk-entries", encodeEntries(entries))
 	decoded, err := decodeEntries(recorded[1:])
 	if err != nil || !reflect.DeepEqual(decoded, entries) {
-		t.Errorf("the recorded entries decode to %+v, %v; want %+v", decoded, err, entries)
+		t.Errorf("the golden entries decode to %+v, error %v; want %+v", decoded, err, entries)
 	}
 	golden.Bytes(t, "disk-kinds", []byte{recordView, recordAcceptor, recordEntries, recordInstall, recordProbe})
 }
 
-// TestGoldenMessages holds the messages between members to the form that earlier versions send.
+// TestGoldenMessages checks that the messages between members are encoded as by earlier versions.
 func TestGoldenMessages(t *testing.T) {
 	for number, named := range wireTypes() {
 		golden.Message(t, fmt.Sprintf("message-%02d", number), named.Sample)
--- a/coord/replica/injected_bugs_test.go
+++ b/coord/replica/injected_bugs_test.go
@@ -10,40 +10,41 @@
 	"sprucelane.example/sprucelane/coord/view"
 )
 
-// injectedBug is a bug that the simulation can inject into the protocol, to show that its checks find it.
+// injectedBug is a bug that the simulation can inject into the protocol, to show that the simulation's checks detect
+// it.
 type injectedBug string
 
 const (
-	bugForgottenPromises       injectedBug = "promises are forgotten at a restart"
+	bugPromisesNotRecovered    injectedBug = "promises are forgotten at a restart"
 	bugAcceptedValueIgnored    injectedBug = "a proposer ignores the accepted value"
 	bugServeBeforePrefix       injectedBug = "a view serves before the prefix is complete"
 	bugWipedMemberVotes        injectedBug = "a wiped machine keeps its vote"
 	bugShortChain              injectedBug = "a chain acknowledges with too few disks"
 	onlyDuels                  injectedBug = "no bug, but frequent duels"
 	bugUnconfirmedRead         injectedBug = "reads are answered without proof of the epoch"
-	bugSentForgotten           injectedBug = "a caller is told that its command never left, though it did"
+	bugSentReportedUnsent      injectedBug = "a caller is told that its command never left, though it did"
 	bugSendBeforeSync          injectedBug = "messages leave before the sync"
 	bugNoRelay                 injectedBug = "commands aren't relayed by another member"
 	bugOldCommands             injectedBug = "the head admits commands from before its view"
-	bugAcknowledgeAlone        injectedBug = "a partitioned member acknowledges commands"
+	bugAcknowledgePartitioned  injectedBug = "a partitioned member acknowledges commands"
 	bugAnySource               injectedBug = "a view starts from any log"
 	bugHalfPrefix              injectedBug = "half of a prefix counts as complete"
 	bugSnapshotWithoutOutcomes injectedBug = "a snapshot comes without the outcomes of commands"
-	bugTransferStorm           injectedBug = "a prefix is sent again and again"
+	bugRepeatedTransfers       injectedBug = "a prefix is sent again and again"
 	bugLostTransfers           injectedBug = "prefixes never arrive"
 	bugStalenessUnproven       injectedBug = "a member without contact claims not to be stale"
 	bugEndlessLease            injectedBug = "a head keeps its lease without proof"
 	bugDepartEarly             injectedBug = "a member ends before it may depart"
 )
 
-// injectIntoRecovery spoils what a start finds on its disk.
+// injectIntoRecovery applies the injected bug to the state recovered from a disk.
 func (n *simulatedNode) injectIntoRecovery(recovered *recoveredState) {
-	if recovered != nil && n.sim.bug == bugForgottenPromises {
+	if recovered != nil && n.sim.bug == bugPromisesNotRecovered {
 		recovered.durable = view.DurableState{View: recovered.durable.View}
 	}
 }
 
-// injectIntoCore spoils a core before its records are taken.
+// injectIntoCore applies the injected bug to a core before its records are taken.
 func (n *simulatedNode) injectIntoCore() {
 	c, now := n.core, n.sim.now
 	switch n.sim.bug {
@@ -59,8 +60,8 @@
 		if n.partitioned && c.staleness.proven {
 			c.staleness.currentAsOf = now
 		}
-	case bugAcknowledgeAlone:
-		n.acknowledgeAlone()
+	case bugAcknowledgePartitioned:
+		n.acknowledgePartitioned()
 	case bugEndlessLease:
 		if c.acceptor.View.Head().Same(c.self) && c.epochConfirmedAt != never {
 			c.epochConfirmedAt = max(c.epochConfirmedAt, now-leaderLeaseDuration/2)
@@ -68,8 +69,9 @@
 	}
 }
 
-// acknowledgeAlone completes the proposals that wait at a partitioned node.
-func (n *simulatedNode) acknowledgeAlone() {
+// acknowledgePartitioned implements bugAcknowledgePartitioned: it completes the pending proposals of a partitioned
+// node.
+func (n *simulatedNode) acknowledgePartitioned() {
 	if !n.partitioned {
 		return
 	}
@@ -79,7 +81,7 @@
 	}
 }
 
-// injectIntoMessage spoils a message on its way, and reports whether it is sent at all.
+// injectIntoMessage applies the injected bug to a message, and reports whether the message is sent.
 func (sim *simulatedCluster) injectIntoMessage(from, to *simulatedNode, m envelope) (envelope, bool) {
 	switch body := m.body.(type) {
 	case view.PrepareResponse:
@@ -128,7 +130,7 @@
 			body.Image = &snapshot
 			m.body = body
 		}
-	case bugTransferStorm:
+	case bugRepeatedTransfers:
 		for range maxTransfers {
 			sim.countTransfer(from, to, m)
 		}
@@ -138,28 +140,28 @@
 	return m, true
 }
 
-// injectedBugs are found by random runs. Each search begins at a seed that skips some known not to find the
-// bug.
+// injectedBugs are the bugs that random runs must find. The search for a bug starts at the seed first, which skips
+// seeds that are known not to find it, and continues in steps of step.
 var injectedBugs = []struct {
 	bug   injectedBug
 	first uint64
 	step  uint64
 }{
-	{bugForgottenPromises, 1, 4}, // those with duels
+	{bugPromisesNotRecovered, 1, 4}, // seeds with duels: seed%4 == 1
 	{bugAcceptedValueIgnored, 65, 4},
 	{bugServeBeforePrefix, 1, 4},
 	{bugWipedMemberVotes, 121, 4},
 	{bugShortChain, 13, 4},
 	{bugUnconfirmedRead, 1, 1},
-	{bugSentForgotten, 26, 1},
+	{bugSentReportedUnsent, 26, 1},
 	{bugSendBeforeSync, 0, 1},
 	{bugNoRelay, 16, 1},
 	{bugOldCommands, 0, 1},
-	{bugAcknowledgeAlone, 0, 1},
+	{bugAcknowledgePartitioned, 0, 1},
 	{bugAnySource, 0, 1},
 	{bugHalfPrefix, 0, 1},
 	{bugSnapshotWithoutOutcomes, 122, 1},
-	{bugTransferStorm, 0, 1},
+	{bugRepeatedTransfers, 0, 1},
 	{bugLostTransfers, 0, 1},
 	{bugStalenessUnproven, 0, 1},
 	{bugEndlessLease, 4, 1},
@@ -173,13 +175,13 @@
 			t.Parallel()
 			began := time.Now()
 			for seed := injected.first; seed < injected.first+400*injected.step; seed += injected.step {
-				if _, broken := runSeed(seed, injected.bug); broken != "" {
-					line, _, _ := strings.Cut(broken, "\n")
+				if _, violation := runSeed(seed, injected.bug); violation != "" {
+					line, _, _ := strings.Cut(violation, "\n")
 					t.Logf("found after %v: %s", time.Since(began), line)
 					return
 				}
 			}
-			t.Errorf("not found")
+			t.Errorf("not found in 400 runs")
 		})
 	}
 }
--- a/coord/replica/invariants_test.go
+++ b/coord/replica/invariants_test.go
@@ -9,18 +9,18 @@
 	"sprucelane.example/sprucelane/coord/view"
 )
 
-// acknowledgement is the progress of what callers know to be committed.
+// acknowledgement is a point in the history of the highest acknowledged index.
 type acknowledgement struct {
 	at    time.Duration
 	index uint64 // highest index acknowledged so far
 }
 
-// callerRecord is what the callers of one command were told.
+// callerRecord records the calls that proposed one command, and their results.
 type callerRecord struct {
 	calls         int           // number of calls
-	unsent        int           // of them: told that the command never left the node
-	open          int           // of them: waiting
-	lastWithdrawn time.Duration // when the last one gave up
+	unsent        int           // number of calls that were told that the command never left the node
+	open          int           // number of calls that weren't withdrawn
+	lastWithdrawn time.Duration // when the last call was withdrawn
 }
 
 // lastAcked returns the highest index acknowledged so far.
@@ -40,8 +40,8 @@
 	return sim.ackHistory[position-1].index
 }
 
-// onApplied checks that all nodes apply the same command at an index, that it is durable on enough disks, and
-// that it wasn't appended in a view from after its last caller gave up.
+// onApplied checks that all nodes apply the same command at an index, that the command is durable on enough disks, and
+// that it wasn't appended in a view that was decided long after its last caller had given up.
 func (n *simulatedNode) onApplied(entry chain.Entry, _ chain.Outcome, _ bool) {
 	sim := n.sim
 	command := entry.ID + "=" + string(entry.Order)
@@ -56,12 +56,12 @@
 	sim.checkDeferred(entry)
 }
 
-// deferredLimit is how long after its last caller gave up a command may be appended in a newer view: the head
-// defers commands during a change of the view.
+// deferredLimit is the maximum time between the withdrawal of a command's last caller and the decision of a view in
+// which the command is still appended. It isn't zero because the head defers commands during a change of the view.
 const deferredLimit = retransmitInterval + 50*time.Millisecond
 
-// checkDeferred checks that a command wasn't deferred anywhere until a view from after its last caller gave
-// up.
+// checkDeferred checks that a command wasn't deferred until a view that was decided more than deferredLimit after its
+// last caller had given up.
 func (sim *simulatedCluster) checkDeferred(entry chain.Entry) {
 	record := sim.callers[entry.ID]
 	decided, known := sim.decidedAt[entry.Epoch]
@@ -74,8 +74,7 @@
 	}
 }
 
-// onViewAdopted checks that there is one view for each epoch, and that its source has all acknowledged
-// commands.
+// onViewAdopted checks that there is only one view for each epoch, and that its source has all acknowledged commands.
 func (n *simulatedNode) onViewAdopted(v view.View) {
 	sim := n.sim
 	text := fmt.Sprintf("%v source %s at %d", v.Chain, v.Source.ID(), v.SourceEpoch)
@@ -92,14 +91,13 @@
 		return
 	}
 	if end := source.disk.shadow.log.LastIndex(); end < sim.lastAcked() {
-		sim.failf("epoch %d starts from %s, which holds %d of %d acknowledged commands",
+		sim.failf("the source of epoch %d is %s, which holds %d of %d acknowledged commands",
 			v.Epoch, source.name, end, sim.lastAcked())
 	}
 }
 
-// checkLeaderLeases checks that at most one member holds the leader lease, that it has all that was
-// acknowledged before its proof, and that no member holds it that was partitioned for longer than
-// leaderLeaseDuration.
+// checkLeaderLeases checks that at most one member holds the leader lease, that its log has all commands acknowledged
+// before its epoch confirmation, and that it hasn't been partitioned for longer than leaderLeaseDuration.
 func (sim *simulatedCluster) checkLeaderLeases() {
 	var leader *simulatedNode
 	for _, n := range sim.nodes {
@@ -107,7 +105,7 @@
 			continue
 		}
 		if leader != nil {
-			sim.failf("%s and %s hold the leader lease", leader.name, n.name)
+			sim.failf("%s and %s hold the leader lease at the same time", leader.name, n.name)
 		}
 		leader = n
 		if end, least := n.core.log.LastIndex(), sim.ackedBefore(n.core.epochConfirmedAt); end < least {
@@ -119,17 +117,17 @@
 	}
 }
 
-// holdsLeaseAt reports whether a node holds the leader lease.
+// holdsLeaseAt reports whether a node holds the leader lease beyond the moment now.
 func (n *simulatedNode) holdsLeaseAt(now time.Duration) bool {
 	until, ok := n.core.leaderLease()
 	return ok && until > now
 }
 
-// recordAck notes that a caller was told that its command is committed, and checks that all callers of a
-// command are told the same index.
+// recordAck records the acknowledgement of a command. It checks that all callers of a command receive the same index,
+// and that a partitioned node doesn't acknowledge a command that was proposed only through it during the partition.
 func (sim *simulatedCluster) recordAck(n *simulatedNode, id string, started time.Duration, outcome chain.Outcome) {
 	if n.partitioned && started >= n.partitionedSince && sim.callersOf(id).calls == 1 {
-		sim.failf("%s, partitioned since %v, acknowledges command %s, which no other node was given",
+		sim.failf("%s, partitioned since %v, acknowledges command %s, which was proposed through no other node",
 			n.name, n.partitionedSince, id)
 	}
 	if index, known := sim.acked[id]; known {
@@ -145,18 +143,19 @@
 	}
 }
 
-// lostDisk is a disk that was lost, with what it held.
+// lostDisk is a disk that was lost, with its durable state at that time.
 type lostDisk struct {
 	at    time.Duration
 	state *recoveredState
 }
 
-// lossWindow is how long before the last member's sync a disk may have been lost that held a command: a
-// member that had passed it on may be lost while the next one is paused.
+// lossWindow is the time for which a lost disk still counts as a copy of the commands that it held: a member that has
+// sent a command to its successor may lose its disk while the successor is paused, so that the command is applied
+// later.
 const lossWindow = 4 * maxFaultDuration
 
-// checkDurability checks that a command, when a node first applies it, is on enough disks, or was until a
-// moment ago.
+// checkDurability checks that a command, when a node first applies it, is on more than tolerance disks, including disks
+// that were lost within lossWindow.
 func (sim *simulatedCluster) checkDurability(entry chain.Entry) {
 	copies := 0
 	for _, n := range sim.nodes {
@@ -170,7 +169,7 @@
 		}
 	}
 	if copies < sim.tolerance+1 {
-		sim.failf("command %s at %d is applied and on %d disks", entry.ID, entry.Index, copies)
+		sim.failf("command %s at %d is applied but only on %d disks", entry.ID, entry.Index, copies)
 	}
 }
 
@@ -183,7 +182,7 @@
 	return entry.Index <= base || entry.Index <= s.log.LastIndex() && s.log.Entry(entry.Index).ID == entry.ID
 }
 
-// read does a linearizable read through a node and checks it.
+// read starts a linearizable read through a node, and checks its index, and that a partitioned node doesn't serve it.
 func (n *simulatedNode) read() {
 	sim := n.sim
 	start := sim.now
@@ -194,7 +193,7 @@
 				return
 			}
 			if least := sim.ackedBefore(start); index < least {
-				sim.failf("%s reads at %d what was acknowledged up to %d before", n.name, index, least)
+				sim.failf("%s reads at index %d, but %d was acknowledged before the read", n.name, index, least)
 			}
 			if n.partitioned && start >= n.partitionedSince {
 				sim.failf("%s serves a read, partitioned since %v", n.name, n.partitionedSince)
@@ -203,7 +202,7 @@
 	})
 }
 
-// checkStaleness checks the staleness bounds that all nodes claim.
+// checkStaleness checks the staleness bounds of all nodes.
 func (sim *simulatedCluster) checkStaleness() {
 	for _, n := range sim.nodes {
 		if !n.up || n.core == nil {
@@ -223,10 +222,10 @@
 	}
 }
 
-// maxTransfers is how often the prefix may be sent to one process in one view.
+// maxTransfers is the maximum number of prefix transfers to one process in one view.
 const maxTransfers = 8
 
-// checkTransfers checks that a member isn't sent the prefix again and again.
+// checkTransfers counts a prefix transfer, and checks that a process isn't sent more than maxTransfers in one view.
 func (sim *simulatedCluster) checkTransfers(to *simulatedNode, epoch uint64) {
 	if sim.unordered {
 		return
--- a/coord/replica/linearizability_test.go
+++ b/coord/replica/linearizability_test.go
@@ -10,13 +10,13 @@
 	"sprucelane.example/sprucelane/coord/chain"
 )
 
-// registerOperation is a read, or a write of a value, of the one register of a history.
+// registerOperation is an operation on the single register of a history: a read, or a write of a value.
 type registerOperation struct {
 	write bool
 	value string
 }
 
-// registerModel is a register that is empty at first.
+// registerModel is the model of a register whose initial value is empty.
 var registerModel = porcupine.Model{
 	Init: func() interface{} { return "" },
 	Step: func(state, input, output interface{}) (bool, interface{}) {
@@ -29,7 +29,8 @@
 	Equal: func(a, b interface{}) bool { return a == b },
 }
 
-// recordHistory adds a client that reads and writes the register. Its value is the command applied last.
+// recordHistory starts a client that reads and writes the register and records its operations. The value of the
+// register is the last applied command.
 func recordHistory(c *campaign, history *[]porcupine.Operation, client int) {
 	count := 0
 	var next func()
@@ -81,8 +82,8 @@
 	})
 }
 
-// answeredOperations leaves out the reads without an answer. Writes without one may have happened at any
-// time.
+// answeredOperations returns the history without unanswered reads. Unanswered writes remain, because they may have been
+// applied at any time.
 func answeredOperations(history []porcupine.Operation) []porcupine.Operation {
 	var kept []porcupine.Operation
 	for _, operation := range history {
@@ -93,7 +94,7 @@
 	return kept
 }
 
-// TestHistoriesAreLinearizable checks what clients saw in runs with faults, by the independent checker
+// TestHistoriesAreLinearizable checks the histories of clients in runs with faults by the independent checker
 // porcupine.
 func TestHistoriesAreLinearizable(t *testing.T) {
 	checked := 0
@@ -112,7 +113,7 @@
 			t.Fatalf("seed %d: the history isn't linearizable: %v", seed, kept)
 		}
 		if result == porcupine.Unknown {
-			t.Errorf("seed %d: not decided in time", seed)
+			t.Errorf("seed %d: the linearizability check isn't finished within 20 s", seed)
 		}
 	}
 	t.Logf("%d operations", checked)
--- a/coord/replica/node_test.go
+++ b/coord/replica/node_test.go
@@ -12,9 +12,9 @@
 	"sprucelane.example/sprucelane/coord/transport"
 )
 
-// lockedHistory is a historyStateMachine that tests may look at from other goroutines.
+// lockedHistory is a historyStateMachine that tests may read from other goroutines.
 type lockedHistory struct {
-	mutex sync.Mutex // guards the machine against the node's loop
+	mutex sync.Mutex // guards the state machine, which the node's loop changes
 	historyStateMachine
 }
 
@@ -94,23 +94,23 @@
 	deadline := time.Now().Add(limit)
 	for !condition() {
 		if time.Now().After(deadline) {
-			t.Fatalf("not within %v: %s", limit, what)
+			t.Fatalf("condition not met within %v: %s", limit, what)
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
 }
 
-// propose has a command applied through the machine's node.
+// propose proposes a command through the machine's node and fails the test if it isn't applied.
 func (m *machine) propose(t testing.TB, id string) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
 	if _, err := m.node.Propose(ctx, id, []byte(id)); err != nil {
-		t.Fatalf("%s through %s: %v", id, m.name, err)
+		t.Fatalf("propose %s through %s: %v", id, m.name, err)
 	}
 }
 
-// TestThreeNodesOnLoopback kills, restarts and wipes real nodes, with a learner beside them.
+// TestThreeNodesOnLoopback closes, restarts and wipes real nodes while a learner is running.
 func TestThreeNodesOnLoopback(t *testing.T) {
 	var machines []*machine
 	var seeds []string
@@ -177,7 +177,7 @@
 	})
 }
 
-// TestProposeWithoutMajority checks that a node alone takes no command and answers no read.
+// TestProposeWithoutMajority checks that a node that reaches no other node accepts no command and answers no read.
 func TestProposeWithoutMajority(t *testing.T) {
 	m := &machine{name: "alone", address: freeAddress(t), dir: t.TempDir()}
 	m.start(t, []string{freeAddress(t), freeAddress(t)}, false)
@@ -185,9 +185,9 @@
 	ctx, cancel := context.WithTimeout(context.Background(), 300*time.Millisecond)
 	defer cancel()
 	if _, err := m.node.Propose(ctx, "a", []byte("a")); !errors.Is(err, ErrUnavailable) {
-		t.Errorf("propose alone: %v", err)
+		t.Errorf("Propose without a majority: %v, want ErrUnavailable", err)
 	}
 	if _, err := m.node.Read(ctx); !errors.Is(err, ErrUnavailable) {
-		t.Errorf("read alone: %v", err)
+		t.Errorf("Read without a majority: %v, want ErrUnavailable", err)
 	}
 }
--- a/coord/replica/race_test.go
+++ b/coord/replica/race_test.go
@@ -2,8 +2,9 @@
 
 package replica
 
-// defaultRuns is the number of random runs without SEEDS: the race detector slows each down several times.
+// defaultRuns is the number of random runs if SEEDS isn't set. It is lower than without the race detector, which slows
+// down each run several times.
 const defaultRuns = 40
 
-// runsPerFault is the number of runs with each kind of fault alone.
+// runsPerFault is the number of runs for each kind of fault in TestSingleFaultKind.
 const runsPerFault = 1
--- a/coord/replica/random_test.go
+++ b/coord/replica/random_test.go
@@ -9,10 +9,10 @@
 	"time"
 )
 
-// runDuration is how long a run has load and faults.
+// runDuration is the duration of load and faults in a run.
 const runDuration = 30 * time.Second
 
-// wantedRuns returns the number of runs: SEEDS, or count.
+// wantedRuns returns the number of runs: the environment variable SEEDS, or count if it isn't set.
 func wantedRuns(count int) int {
 	if text := os.Getenv("SEEDS"); text != "" {
 		if wanted, err := strconv.Atoi(text); err == nil {
@@ -22,58 +22,58 @@
 	return count
 }
 
-// runSeed runs a seed and returns its failure, if any.
-func runSeed(seed uint64, bug injectedBug) (c *campaign, broken string) {
+// runSeed runs a seed and returns the text of its failure, or "".
+func runSeed(seed uint64, bug injectedBug) (c *campaign, violation string) {
 	defer func() {
 		if caught := recover(); caught != nil {
-			broken = fmt.Sprint(caught)
+			violation = fmt.Sprint(caught)
 		}
 	}()
 	return runCampaign(seed, runDuration, bug), ""
 }
 
-// TestRandomFaults runs fixed seeds; SEEDS=N runs N of them, FIRST=S starts at seed S.
+// TestRandomFaults runs campaigns with fixed seeds. SEEDS=N runs N seeds, FIRST=S starts at seed S.
 func TestRandomFaults(t *testing.T) {
 	first, _ := strconv.Atoi(os.Getenv("FIRST"))
 	count := wantedRuns(defaultRuns)
 	const shards = 4
-	var acked, faults, recoveries, copied, next atomic.Int64
+	var acked, faults, recoveries, transferred, next atomic.Int64
 	t.Run("shards", func(t *testing.T) {
 		for shard := 0; shard < shards; shard++ {
 			t.Run(strconv.Itoa(shard), func(t *testing.T) {
 				t.Parallel()
 				for number := int(next.Add(1)) - 1; number < count; number = int(next.Add(1)) - 1 {
 					seed := first + number
-					c, broken := runSeed(uint64(seed), "")
-					if broken != "" {
-						t.Errorf("replay with FIRST=%d SEEDS=1: %s", seed, broken)
+					c, violation := runSeed(uint64(seed), "")
+					if violation != "" {
+						t.Errorf("replay with FIRST=%d SEEDS=1: %s", seed, violation)
 						continue
 					}
 					acked.Add(int64(len(c.acked)))
 					faults.Add(int64(c.faults))
 					recoveries.Add(int64(c.recoveries))
-					copied.Add(int64(c.transferredBytes))
+					transferred.Add(int64(c.transferredBytes))
 				}
 			})
 		}
 	})
 	t.Logf("%d runs, %d commands acknowledged, %d faults, %d starts from a disk, %d bytes transferred",
-		count, acked.Load(), faults.Load(), recoveries.Load(), copied.Load())
+		count, acked.Load(), faults.Load(), recoveries.Load(), transferred.Load())
 }
 
-// TestFrequentDuels has proposers duel all the time, without any bug.
+// TestFrequentDuels runs seeds with continuous duels of proposers and no injected bug.
 func TestFrequentDuels(t *testing.T) {
 	for seed := uint64(1); seed < 33; seed += 4 {
 		t.Run(strconv.FormatUint(seed, 10), func(t *testing.T) {
 			t.Parallel()
-			if _, broken := runSeed(seed, onlyDuels); broken != "" {
-				t.Error(broken)
+			if _, violation := runSeed(seed, onlyDuels); violation != "" {
+				t.Error(violation)
 			}
 		})
 	}
 }
 
-// TestFullDisks has disks refuse writes again and again.
+// TestFullDisks runs seeds whose only fault is a disk that refuses writes.
 func TestFullDisks(t *testing.T) {
 	for seed := uint64(0); seed < defaultRuns/5; seed++ {
 		t.Run(strconv.FormatUint(seed, 10), func(t *testing.T) {
@@ -85,7 +85,7 @@
 	}
 }
 
-// TestSingleFaultKind has one kind of fault come again and again.
+// TestSingleFaultKind runs seeds with a single kind of fault, for each kind.
 func TestSingleFaultKind(t *testing.T) {
 	for _, kind := range faultKinds {
 		t.Run(kind.name, func(t *testing.T) {
@@ -99,9 +99,9 @@
 	}
 }
 
-// TestClientsTryAllNodes checks that a client without an answer tries each other node before it returns to
-// one. In seed 7002540, three clients happened to return to the same partitioned machine, which cost two
-// seconds without an acknowledgement.
+// TestClientsTryAllNodes checks that a simulated client without an answer tries every other node before it returns to
+// a node. In seed 7002540, three clients returned to the same partitioned machine by chance, which caused two seconds
+// without an acknowledgement.
 func TestClientsTryAllNodes(t *testing.T) {
 	for seed := uint64(1); seed <= 50; seed++ {
 		c := prepareCampaign(seed, runDuration, "")
@@ -111,7 +111,7 @@
 			n := c.nextNode(attempted)
 			for _, earlier := range attempted {
 				if n == earlier {
-					t.Fatalf("seed %d: a client comes back to %s before it has tried all", seed, n.name)
+					t.Fatalf("seed %d: a client returns to %s before it has tried all nodes", seed, n.name)
 				}
 			}
 			attempted = append(attempted, n)
@@ -119,8 +119,9 @@
 	}
 }
 
-// TestClientsOfPartitionedNode repeats the moment of seed 7002540 with all clients at the partitioned
-// machine: their commands are acknowledged through the others in time.
+// TestClientsOfPartitionedNode reproduces the situation of seed 7002540, in which all clients have proposed their
+// commands through the partitioned machine. The commands must be acknowledged through the other machines within
+// maxUnavailability.
 func TestClientsOfPartitionedNode(t *testing.T) {
 	c := &campaign{simulatedCluster: startSimulatedCluster(22, 3, 1), end: runDuration}
 	c.runUntil(2 * time.Second)
--- a/coord/replica/replication_test.go
+++ b/coord/replica/replication_test.go
@@ -8,8 +8,8 @@
 	"sprucelane.example/sprucelane/coord/chain"
 )
 
-// mustAcknowledge proposes a command through a node and returns how long the acknowledgement took. Beyond the
-// limit, the run fails.
+// mustAcknowledge proposes a command through a node and returns the time until the acknowledgement. If it takes longer
+// than limit, the run fails.
 func (sim *simulatedCluster) mustAcknowledge(
 	t *testing.T, n *simulatedNode, id string, limit time.Duration,
 ) time.Duration {
@@ -34,7 +34,7 @@
 		for j, n := range sim.nodes {
 			took := sim.mustAcknowledge(t, n, fmt.Sprintf("%d-%d", i, j), time.Second)
 			if took > 30*time.Millisecond {
-				t.Errorf("command %d through %s took %v", i, n.name, took)
+				t.Errorf("command %d through %s took %v, want at most 30 ms", i, n.name, took)
 			}
 			n.read()
 		}
@@ -43,7 +43,7 @@
 	sim.checkStaleness()
 	for _, n := range sim.nodes {
 		if len(n.stateMachine.commands) != 80 {
-			t.Errorf("%s applied %d commands", n.name, len(n.stateMachine.commands))
+			t.Errorf("%s applied %d commands, want 80", n.name, len(n.stateMachine.commands))
 		}
 		asOf, proven := n.core.currentAsOf()
 		if !proven || sim.now-asOf > 900*time.Millisecond {
@@ -51,12 +51,12 @@
 		}
 	}
 	if until, ok := sim.nodes[0].core.leaderLease(); !ok {
-		t.Errorf("head has no leader lease (until %v)", until)
+		t.Errorf("the head doesn't hold the leader lease (expiry %v)", until)
 	}
 }
 
-// TestLossOfAnyMember kills each member of a chain in turn: the others go on, and the member returns to the
-// chain.
+// TestLossOfAnyMember kills each member of a chain in turn. The others must acknowledge the next command, and the
+// killed member must return to the chain after its restart.
 func TestLossOfAnyMember(t *testing.T) {
 	for victim := 0; victim < 3; victim++ {
 		sim := startSimulatedCluster(uint64(10+victim), 3, 1)
@@ -69,17 +69,18 @@
 		}
 		t.Logf("member %d killed: next command after %v", victim, took)
 		sim.nodes[victim].start(false)
-		back := sim.now
+		restartedAt := sim.now
 		n := sim.nodes[victim]
 		if !sim.runWhile(2*time.Second, func() bool { return !n.core.serving() || len(n.core.view().Chain) != 3 }) {
-			sim.failf("not back in the chain")
+			sim.failf("the killed member isn't back in the chain within 2 s of its restart")
 		}
-		t.Logf("back in the chain after %v", sim.now-back)
+		t.Logf("back in the chain after %v", sim.now-restartedAt)
 	}
 }
 
-// TestCommandRelayedAroundPartitionedLink partitions, one way or both, the link between the tail and the
-// head, which the chain doesn't use: commands of the tail are relayed by the member between them.
+// TestCommandRelayedAroundPartitionedLink partitions the link between the tail and the head in one or both
+// directions. The chain doesn't use this link, so the view must not change, and commands proposed at the tail must be
+// relayed by the member between them.
 func TestCommandRelayedAroundPartitionedLink(t *testing.T) {
 	for _, ways := range [][]int{{0, 2}, {2, 0}, {0, 2, 2, 0}} {
 		sim := startSimulatedCluster(20, 3, 1)
@@ -89,15 +90,15 @@
 		}
 		sim.runUntil(5 * time.Second)
 		if chain := sim.nodes[1].core.view(); chain.Epoch != 1 {
-			t.Errorf("partition %v: the view changed to epoch %d, %v", ways, chain.Epoch, chain)
+			t.Errorf("partition %v: the view changed from epoch 1 to %d, %v", ways, chain.Epoch, chain)
 		}
 		took := sim.mustAcknowledge(t, sim.nodes[2], "around", time.Second)
 		t.Logf("partition %v: acknowledged after %v", ways, took)
 	}
 }
 
-// TestCommandOfMemberOutsideChain partitions the link between the head and the second member, so that the
-// next view leaves one of them out: both still get commands acknowledged.
+// TestCommandOfMemberOutsideChain partitions the link between the head and the second member, so that the next view
+// excludes one of them. Commands proposed through either of them must still be acknowledged.
 func TestCommandOfMemberOutsideChain(t *testing.T) {
 	sim := startSimulatedCluster(21, 3, 1)
 	sim.runUntil(2 * time.Second)
--- a/coord/replica/resource_usage_test.go
+++ b/coord/replica/resource_usage_test.go
@@ -9,15 +9,15 @@
 	"sprucelane.example/sprucelane/coord/chain"
 )
 
-// resourceUsage is what a member keeps in memory and on its disk.
+// resourceUsage is the memory and disk usage of a member.
 type resourceUsage struct {
-	logBytes  int // of the commands in its log
-	outcomes  int // in its deduplication window
-	pending   int // proposals, reads, deferred commands, learners and peers
+	logBytes  int // size of the commands in its log
+	outcomes  int // number of outcomes in its deduplication window
+	pending   int // number of proposals, reads, deferred commands, learners and peers
 	diskBytes int64
 }
 
-// maximum returns the larger of each value.
+// maximum returns the maximum of each value.
 func (u resourceUsage) maximum(other resourceUsage) resourceUsage {
 	return resourceUsage{
 		logBytes:  max(u.logBytes, other.logBytes),
@@ -27,7 +27,7 @@
 	}
 }
 
-// resourceUsage measures a node.
+// resourceUsage returns the current resource usage of a node.
 func (n *simulatedNode) resourceUsage() resourceUsage {
 	c := n.core
 	base, _ := c.log.Base()
@@ -46,8 +46,8 @@
 	return usage
 }
 
-// proposeMany proposes count commands of about 100 bytes, eight at a time, and calls sample at every
-// hundredth.
+// proposeMany proposes count commands of about 100 bytes, eight at a time, and calls sample after every 100
+// acknowledgements.
 func (sim *simulatedCluster) proposeMany(t *testing.T, name string, count int, sample func()) {
 	t.Helper()
 	text := strings.Repeat("x", 100)
@@ -70,12 +70,12 @@
 		next()
 	}
 	if !sim.runWhile(5*time.Minute, func() bool { return finished < count }) {
-		t.Fatalf("%d of %d commands are acknowledged", finished, count)
+		t.Fatalf("%d of %d commands are acknowledged within 5 minutes", finished, count)
 	}
 }
 
-// TestResourceUsageIsBounded proposes 10,000 commands: what a member keeps doesn't grow over the last half of
-// them, in memory or on disk.
+// TestResourceUsageIsBounded proposes 10,000 commands. The memory and disk usage of a member must not grow over the
+// second half of them.
 func TestResourceUsageIsBounded(t *testing.T) {
 	sim := startSimulatedCluster(80, 3, 1)
 	sim.retainedCommands = 16
@@ -87,29 +87,29 @@
 	learner.start(true)
 	sim.runUntil(3 * time.Second)
 	measure := func(name string, count int) resourceUsage {
-		var most resourceUsage
+		var peak resourceUsage
 		sim.proposeMany(t, name, count, func() {
 			for _, n := range sim.members() {
-				most = most.maximum(n.resourceUsage())
+				peak = peak.maximum(n.resourceUsage())
 			}
 		})
-		return most
+		return peak
 	}
 	measure("first", 5000)
 	early := measure("early", 2500)
 	late := measure("late", 2500)
 	t.Logf("commands 5,000 to 7,500: %+v; 7,500 to 10,000: %+v", early, late)
 	if late.outcomes != sim.limits.deduplicationWindow {
-		t.Errorf("%d outcomes are remembered, of %d", late.outcomes, sim.limits.deduplicationWindow)
+		t.Errorf("%d outcomes are kept, want %d", late.outcomes, sim.limits.deduplicationWindow)
 	}
 	if late.logBytes > early.logBytes*11/10 || late.pending > early.pending+8 || late.diskBytes > early.diskBytes*11/10 {
-		t.Errorf("grown from %+v to %+v", early, late)
+		t.Errorf("the resource usage has grown from %+v to %+v", early, late)
 	}
 }
 
-// TestRejoinAfterLongAbsence has a member miss over 500 commands, with an old snapshot and a log torn by a
-// loss of power. It is complete soon after its return, for about the bytes of one snapshot and the commands
-// after it.
+// TestRejoinAfterLongAbsence makes a member miss over 500 commands. It returns with an old snapshot and a log torn by a
+// power loss. It must have the complete prefix within 2 s of its return, and the transfer must not be much larger than
+// one snapshot and the commands after it.
 func TestRejoinAfterLongAbsence(t *testing.T) {
 	for seed := uint64(0); seed < 10; seed++ {
 		sim := startSimulatedCluster(90+seed, 3, 1)
@@ -118,22 +118,22 @@
 		sim.checkpointAt = 16 << 10
 		sim.runUntil(2 * time.Second)
 		sim.proposeMany(t, "before", 50, func() {})
-		away := sim.nodes[2]
-		away.propose("torn", nil)
+		absent := sim.nodes[2]
+		absent.propose("torn", nil)
 		sim.runUntil(sim.now + 3*time.Millisecond)
-		away.losePower()
+		absent.losePower()
 		sim.proposeMany(t, "missed", 600, func() {})
-		copied, back := sim.transferredBytes, sim.now
-		away.start(false)
-		outside := sim.nodes[0].core.epoch()
-		if !sim.runWhile(2*time.Second, func() bool { return away.core.epoch() <= outside || !away.core.serving() }) {
-			t.Fatalf("seed %d: not complete after %v", seed, sim.now-back)
+		transferred, restartedAt := sim.transferredBytes, sim.now
+		absent.start(false)
+		oldEpoch := sim.nodes[0].core.epoch()
+		if !sim.runWhile(2*time.Second, func() bool { return absent.core.epoch() <= oldEpoch || !absent.core.serving() }) {
+			t.Fatalf("seed %d: the returned member lacks the prefix after %v", seed, sim.now-restartedAt)
 		}
 		snapshot := sim.nodes[0].core.state.Snapshot()
-		most := 2*transferBytes(PrefixTransfer{Image: &snapshot}) + sim.limits.retainedLogBytes
-		if copied = sim.transferredBytes - copied; copied > most {
-			t.Errorf("seed %d: %d bytes were transferred, of at most %d", seed, copied, most)
+		maxBytes := 2*transferBytes(PrefixTransfer{Image: &snapshot}) + sim.limits.retainedLogBytes
+		if transferred = sim.transferredBytes - transferred; transferred > maxBytes {
+			t.Errorf("seed %d: %d bytes were transferred, want at most %d", seed, transferred, maxBytes)
 		}
-		t.Logf("complete %v after its return, for %d bytes", sim.now-back, copied)
+		t.Logf("prefix complete %v after the return, %d bytes transferred", sim.now-restartedAt, transferred)
 	}
 }
--- a/coord/replica/simulated_disk_test.go
+++ b/coord/replica/simulated_disk_test.go
@@ -11,10 +11,10 @@
 	"sprucelane.example/sprucelane/internal/simulation"
 )
 
-// historyStateMachine keeps all commands that it applied, or as many of the last ones as retained says.
+// historyStateMachine keeps the commands that it has applied: all of them, or the last ones if retained is set.
 type historyStateMachine struct {
 	commands []string
-	retained int // 0: all
+	retained int // number of commands to keep; 0: all
 }
 
 func (m *historyStateMachine) Apply(index uint64, command []byte) []byte {
@@ -35,15 +35,15 @@
 	return nil
 }
 
-// simulatedDisk is a machine's disk with the real store on it. When a process ends, the write under way is
-// complete or torn; a loss of power drops or tears what wasn't synced.
+// simulatedDisk is a machine's disk with the real store on it. When a process ends, the write in progress is complete
+// or torn. A power loss drops or tears the data that wasn't synced.
 type simulatedDisk struct {
 	files   *simulation.Disk
 	random  *simulation.Rand
 	store   durableStore
 	syncs   int
-	written int             // bytes
-	shadow  *recoveredState // what a start must find; nil: the disk is empty
+	written int             // bytes passed to the store
+	shadow  *recoveredState // the state that a start must recover; nil: the disk is empty
 }
 
 // newSimulatedDisk returns an empty disk.
@@ -55,17 +55,17 @@
 // empty reports whether the disk holds nothing.
 func (d *simulatedDisk) empty() bool { return d.shadow == nil }
 
-// open opens the store, as a starting process does, and returns what it finds.
+// open opens the store, as a starting process does, and returns the recovered state.
 func (d *simulatedDisk) open() *recoveredState {
 	store, recovered, err := openStore(d.files)
 	if err != nil {
-		panic(fmt.Sprintf("a disk can't be read that lost no more than power: %v", err))
+		panic(fmt.Sprintf("a disk that had no other fault than a power loss can't be read: %v", err))
 	}
 	d.store = store
 	return recovered
 }
 
-// diskWrite is one write of a process: records, or a snapshot in their place, which holds state.
+// diskWrite is one write of a process: either records, or a snapshot with the state that it encodes.
 type diskWrite struct {
 	records  [][]byte
 	snapshot []byte
@@ -74,7 +74,7 @@
 
 func (write diskWrite) empty() bool { return len(write.records) == 0 && write.snapshot == nil }
 
-// write makes a write durable.
+// write makes a write durable and applies it to the shadow.
 func (d *simulatedDisk) write(pending diskWrite) error {
 	d.syncs++
 	if err := d.persist(pending); err != nil {
@@ -109,8 +109,8 @@
 	}
 }
 
-// end ends the process, by a kill or by a loss of power, during a write if there is one. It checks that the
-// disk then holds what it did before or after that write, and nothing between.
+// end ends the process, by a kill or by a power loss, during the given write unless it is empty. It checks that the
+// disk then holds either the state before or the state after the write, and no partial state.
 func (d *simulatedDisk) end(write diskWrite, powerLoss bool) {
 	allowed := []string{d.shadow.summary()}
 	if !write.empty() {
@@ -134,10 +134,10 @@
 			return
 		}
 	}
-	panic(failure(fmt.Sprintf("a disk holds %s, of %v", d.shadow.summary(), allowed)))
+	panic(failure(fmt.Sprintf("a disk holds %s, want one of %v", d.shadow.summary(), allowed)))
 }
 
-// fill leaves capacity for a few more bytes only.
+// fill limits the capacity of the disk to its current size and at most 200 more bytes.
 func (d *simulatedDisk) fill() {
 	names, _ := d.files.List()
 	used := int64(d.random.IntN(200))
@@ -148,7 +148,7 @@
 	d.files.SetCapacity(used + 1)
 }
 
-// summary describes what a disk holds.
+// summary describes the state on a disk.
 func (s *recoveredState) summary() string {
 	if s == nil {
 		return "nothing"
@@ -158,7 +158,7 @@
 		s.durable.View.Epoch, s.durable.Promised, s.durable.AcceptedBallot, s.synced, s.log.LastIndex(), epoch)
 }
 
-// durableState returns what a start must find after a checkpoint of the core.
+// durableState returns the state that a start must recover after a checkpoint of the core.
 func (c *core) durableState() *recoveredState {
 	baseIndex, baseEpoch := c.log.Base()
 	entries := c.log.After(baseIndex, math.MaxInt)
--- a/coord/replica/simulated_node_test.go
+++ b/coord/replica/simulated_node_test.go
@@ -10,32 +10,32 @@
 	"sprucelane.example/sprucelane/coord/view"
 )
 
-// simulatedNode is a machine of the cluster. It carries the core as Node does.
+// simulatedNode is a machine of the cluster. It drives the core as Node does.
 type simulatedNode struct {
 	sim          *simulatedCluster
 	name         string
 	address      string
-	removed      bool // for good
+	removed      bool // removed permanently
 	core         *core
 	stateMachine *historyStateMachine
 
-	incarnation     int // counts starts and ends; events of earlier ones are dropped
+	incarnation     int // number of starts and ends; events of an earlier incarnation are dropped
 	up              bool
 	paused          bool
 	inbox           []func()      // inputs that wait for the end of a sync or pause
-	pendingOutcomes []func() bool // each reports whether its outcome has come
+	pendingOutcomes []func() bool // each delivers its outcome if there is one, and reports whether it did
 
-	partitioned      bool // from all other machines, at least one way
+	partitioned      bool // partitioned from all other machines with a disk, at least in one direction
 	partitionedSince time.Duration
 
-	disk          *simulatedDisk // nil: a machine without one
-	diskSince     time.Duration  // when its disk was new
+	disk          *simulatedDisk // nil: the machine has no disk
+	diskSince     time.Duration  // when its disk was created
 	syncing       bool
-	writing       func(power bool) // ends the process during the write under way; nil: there is none
-	diskStalled   bool             // syncs don't end
-	diskSlowdown  int              // syncs take this many times as long
+	writing       func(power bool) // ends the process during the write in progress; nil: no write is in progress
+	diskStalled   bool             // syncs don't complete
+	diskSlowdown  int              // factor by which syncs take longer
 	diskFull      bool             // the disk refuses writes
-	diskUnhealthy bool             // and has refused one
+	diskUnhealthy bool             // the disk has refused a write and isn't reopened yet
 }
 
 // start starts the process of a machine.
@@ -78,7 +78,7 @@
 	sim.after(time.Duration(sim.random.Int64N(int64(tickInterval))), func() { n.tick(incarnation) })
 }
 
-// open opens the disk, if there is one, and checks what is on it.
+// open opens the disk, if there is one, and checks that the recovered state equals the shadow.
 func (n *simulatedNode) open() *recoveredState {
 	if n.disk == nil {
 		return nil
@@ -89,7 +89,7 @@
 		n.sim.recoveries++
 	}
 	if recovered.summary() != n.disk.shadow.summary() {
-		n.sim.failf("%s finds %s on its disk, which held %s", n.name, recovered.summary(), n.disk.shadow.summary())
+		n.sim.failf("%s recovers %s from its disk, want %s", n.name, recovered.summary(), n.disk.shadow.summary())
 	}
 	n.injectIntoRecovery(recovered)
 	return recovered
@@ -104,7 +104,7 @@
 	return &first
 }
 
-// tick has the core of an incarnation tick for ever.
+// tick calls core.tick every tickInterval until the incarnation ends.
 func (n *simulatedNode) tick(incarnation int) {
 	if n.incarnation != incarnation || !n.up {
 		return
@@ -115,7 +115,7 @@
 	n.sim.after(tickInterval, func() { n.tick(incarnation) })
 }
 
-// handle executes an input now, or after the sync or the pause that holds the process up.
+// handle executes an input immediately, or after the current sync or pause of the process.
 func (n *simulatedNode) handle(input func()) {
 	if !n.up {
 		return
@@ -158,8 +158,8 @@
 	sim.after(duration*time.Duration(max(n.diskSlowdown, 1)), func() { n.synced(incarnation, write) })
 }
 
-// refuseWrites has the disk refuse writes for a while. As with Node, the process then continues from what the
-// disk holds.
+// refuseWrites fills the disk for the duration down. If the disk has refused a write, the process then continues from
+// the contents of the disk, as Node does.
 func (n *simulatedNode) refuseWrites(down time.Duration) {
 	n.diskFull = true
 	n.disk.fill()
@@ -175,7 +175,7 @@
 	})
 }
 
-// synced ends a sync, unless the disk is stalled or the process paused.
+// synced completes a sync. While the disk is stalled or the process is paused, it tries again after 5 ms.
 func (n *simulatedNode) synced(incarnation int, write diskWrite) {
 	if n.incarnation != incarnation || !n.up {
 		return
@@ -194,7 +194,7 @@
 	n.drain()
 }
 
-// writeRefused takes the member out of service until its disk takes bytes again, as Node.diskFailed does.
+// writeRefused takes the member out of service until its disk accepts writes again, as Node.diskFailed does.
 func (n *simulatedNode) writeRefused(err error) {
 	if !n.diskFull {
 		n.sim.failf("the disk of %s: %v", n.name, err)
@@ -205,7 +205,7 @@
 	_ = n.disk.store.Close()
 }
 
-// drain handles what arrived meanwhile, as one batch.
+// drain handles the inputs that arrived during a sync or pause, as one batch.
 func (n *simulatedNode) drain() {
 	if len(n.inbox) == 0 || n.paused || n.syncing {
 		return
@@ -218,13 +218,13 @@
 	n.flush()
 }
 
-// finish tells the core that its records are durable and sends its messages.
+// finish notifies the core that its records are durable, and sends its messages.
 func (n *simulatedNode) finish() {
 	sim := n.sim
 	n.core.persisted(sim.now)
 	n.notifyWaiting()
 	if records, checkpoint := n.peekRecords(); records || checkpoint {
-		sim.failf("%s wants to write after its sync", n.name)
+		sim.failf("%s has queued records or a checkpoint after its sync", n.name)
 	}
 	for _, m := range n.core.takeMessages() {
 		sim.deliver(n, m)
@@ -232,15 +232,15 @@
 	sim.checkLeaderLeases()
 }
 
-// peekRecords reports whether the core has decided records, or a checkpoint, that it hasn't handed over.
+// peekRecords reports whether the core has queued records, or a checkpoint, that weren't taken yet.
 func (n *simulatedNode) peekRecords() (records, checkpoint bool) {
 	return len(n.core.records) > 0 && n.disk != nil, n.core.checkpointDue && n.disk != nil
 }
 
-// kill ends a process; a part of the write under way may be on the disk.
+// kill ends a process. A part of the write in progress may be on the disk.
 func (n *simulatedNode) kill() { n.end("killed", false) }
 
-// losePower ends a process; what it hadn't synced is on the disk, lost or torn.
+// losePower ends a process by a power loss. Unsynced data may be on the disk, lost or torn.
 func (n *simulatedNode) losePower() { n.end("loses power", true) }
 
 // end ends a process.
@@ -277,7 +277,7 @@
 	n.paused = true
 }
 
-// resume resumes a paused process, which handles all that arrived meanwhile.
+// resume resumes a paused process, which handles the inputs that arrived during the pause.
 func (n *simulatedNode) resume() {
 	if !n.up || !n.paused {
 		return
@@ -287,11 +287,11 @@
 	n.drain()
 }
 
-// propose proposes a command through a node and records the acknowledgement. withdraw ends the call.
+// propose proposes a command through a node and records the acknowledgement. The returned function withdraws the call.
 func (n *simulatedNode) propose(id string, done func(chain.Outcome)) (withdraw func()) {
 	sim := n.sim
 	incarnation, started := n.incarnation, sim.now
-	wait := &outcomeWaiter{outcomes: make(chan chain.Outcome, 1)}
+	waiter := &outcomeWaiter{outcomes: make(chan chain.Outcome, 1)}
 	submitted := false
 	record := sim.callersOf(id)
 	record.calls++
@@ -302,37 +302,38 @@
 		}
 		submitted = true
 		n.pendingOutcomes = append(n.pendingOutcomes, func() bool {
-			if len(wait.outcomes) == 0 {
+			if len(waiter.outcomes) == 0 {
 				return false
 			}
-			outcome := <-wait.outcomes
+			outcome := <-waiter.outcomes
 			sim.recordAck(n, id, started, outcome)
 			if done != nil {
 				sim.after(0, func() { done(outcome) })
 			}
 			return true
 		})
-		n.core.submit(sim.now, id, []byte(id), wait)
+		n.core.submit(sim.now, id, []byte(id), waiter)
 	})
 	return func() {
 		n.handle(func() {
-			if n.incarnation == incarnation && submitted && len(wait.outcomes) == 0 {
-				n.recordWithdrawal(record, n.core.withdraw(id, wait))
+			if n.incarnation == incarnation && submitted && len(waiter.outcomes) == 0 {
+				n.recordWithdrawal(record, n.core.withdraw(id, waiter))
 			}
 		})
 	}
 }
 
-// recordWithdrawal records what a caller that gives up is told.
+// recordWithdrawal records the withdrawal of a call, and whether the call reported that the command never left the
+// node.
 func (n *simulatedNode) recordWithdrawal(record *callerRecord, sent bool) {
-	if !sent || n.sim.bug == bugSentForgotten {
+	if !sent || n.sim.bug == bugSentReportedUnsent {
 		record.unsent++
 	}
 	record.open--
 	record.lastWithdrawn = n.sim.now
 }
 
-// notifyWaiting delivers outcomes to the callers of this node.
+// notifyWaiting delivers available outcomes to the callers of this node.
 func (n *simulatedNode) notifyWaiting() {
 	n.pendingOutcomes = slices.DeleteFunc(n.pendingOutcomes, func(delivered func() bool) bool { return delivered() })
 }
--- a/coord/replica/status.go
+++ b/coord/replica/status.go
@@ -64,14 +64,14 @@
 	if repeated {
 		return
 	}
-	for _, call := range n.callbacks.Load().onApply {
-		call(entry.Index, entry.Order, outcome.Result)
+	for _, callback := range n.callbacks.Load().onApply {
+		callback(entry.Index, entry.Order, outcome.Result)
 	}
 }
 
 // onViewAdopted calls the callbacks for an adopted view.
 func (n *Node) onViewAdopted(v view.View) {
-	for _, call := range n.callbacks.Load().onView {
-		call(v)
+	for _, callback := range n.callbacks.Load().onView {
+		callback(v)
 	}
 }
--- a/coord/replica/torn_log_test.go
+++ b/coord/replica/torn_log_test.go
@@ -11,8 +11,8 @@
 	"sprucelane.example/sprucelane/internal/simulation"
 )
 
-// TestTornLogIsReported opens a disk whose last record is torn: what is cut off is logged with its offset,
-// once.
+// TestTornLogIsReported opens a disk twice whose last record is torn. The truncation must be logged once, with the
+// offset of the torn record.
 func TestTornLogIsReported(t *testing.T) {
 	disk := simulation.NewDisk(simulation.NewRand(1))
 	store, _, err := slots.Open(disk, slots.Options{})
