--- a/coord/replica/doc.go
+++ b/coord/replica/doc.go
@@ -28,8 +28,9 @@
 // Reads are linearizable. ErrUnavailable means that the command never left this node; ErrUncertain means that
 // it may be applied at any time, or never.
 //
-// A chain of Tolerance members or fewer accepts no commands, and a minority of the voters can neither commit a
-// command nor decide a view: partitions and losses beyond these bounds cost availability, never consistency.
+// A chain of Tolerance members or fewer accepts no commands, and a minority of the voters can commit no command,
+// answer no read and decide no view: partitions and losses beyond these bounds cost availability, never
+// consistency.
 //
 // # Replication
 //
@@ -38,9 +39,9 @@
 // is durable at the tail is on all disks, hence committed. Acknowledgements travel back up the chain with the
 // commit index, and each member applies the commands up to it.
 //
-// There are two differences from the paper: any node may serve reads once it has proof that its epoch is still
-// the newest, instead of the tail alone; and the members agree on the next chain themselves, instead of asking
-// a master.
+// There are two differences from the paper: any node may serve reads, once its epoch was confirmed after the start
+// of the read, instead of the tail alone; and the members agree on the next chain themselves, instead of asking a
+// master.
 //
 // Nodes outside of the chain are learners. Each learner polls one chain member for committed commands; between
 // the polls, that member pushes new commands to it. Every node learns the outcomes of its callers' commands
--- a/coord/replica/faults_test.go
+++ b/coord/replica/faults_test.go
@@ -320,7 +320,7 @@
 	c.faultBegan(max(down, replacementTimeout))
 }
 
-// maxMachines is the number of machines with a disk at which injectAddition adds no more.
+// maxMachines is the maximum number of machines with a disk to which injectAddition adds machines.
 const maxMachines = 8
 
 // injectAddition adds a machine. Others lose their disks while it joins.
--- a/coord/replica/learner.go
+++ b/coord/replica/learner.go
@@ -8,7 +8,7 @@
 )
 
 // learnerState is the state of a node in its role as a learner. A node outside of the chain is a learner in the
-// sense of Paxos: it polls one chain member, its upstream, for committed commands.
+// sense of Paxos: it polls one chain member, its upstream, for committed commands. In this role it doesn't vote.
 type learnerState struct {
 	upstream      view.Member // the chain member that it polls
 	upstreamIndex int         // selects the next upstream: index modulo the length of the chain
--- a/coord/replica/limits.go
+++ b/coord/replica/limits.go
@@ -18,8 +18,8 @@
 // limits bound the state that a core retains and the size of its messages. All members of a system use the same
 // limits, because the set of commands recognized as duplicates is part of the replicated state.
 type limits struct {
-	// batchBytes is the approximate number of bytes of commands in one message. A message with commands has at
-	// least one.
+	// batchBytes is the approximate maximum number of bytes of commands in one message. A batch contains at least
+	// one command.
 	batchBytes int
 	// retainedLogBytes is the number of bytes of applied commands that the log retains at a checkpoint. A
 	// returning member that lacks only retained commands is sent these commands; a member that lacks more is
--- a/coord/replica/network.go
+++ b/coord/replica/network.go
@@ -63,7 +63,7 @@
 	}
 }
 
-// memberOf returns the member with a transport identity.
+// memberOf returns the member identified by a transport identity.
 func memberOf(identity transport.Identity) view.Member {
 	return view.Member{Node: identity.Node, Address: identity.Address, Incarnation: identity.Incarnation}
 }
--- a/coord/replica/options.go
+++ b/coord/replica/options.go
@@ -24,8 +24,8 @@
 	Seeds []string
 	// Bootstrap means that the whole system starts for the first time. It is ignored if the disk isn't empty.
 	Bootstrap bool
-	// DataDir is the directory that holds the durable state. If it is empty, the node has no disk and is a
-	// learner.
+	// DataDir is the directory that holds the durable state. If it is "" and Disk is nil, the node has no disk and
+	// is a learner.
 	DataDir string
 	// Disk replaces the directory DataDir, for simulations.
 	Disk slots.FS
--- a/coord/replica/replication.go
+++ b/coord/replica/replication.go
@@ -99,7 +99,8 @@
 	c.appendNew(m.Entries)
 }
 
-// appendNew appends the entries that the log lacks. Entries that the log already has must be of the same epoch.
+// appendNew appends the entries that the log lacks. Entries that the log already has must be the same commands, which
+// is checked by their epochs.
 func (c *core) appendNew(entries []chain.Entry) {
 	for len(entries) > 0 && entries[0].Index <= c.log.LastIndex() {
 		if epoch, known := c.log.EpochAt(entries[0].Index); known {
@@ -182,8 +183,8 @@
 	})
 }
 
-// onAck handles a report of the successor's progress. Acks may be lost, duplicated and reordered, so the indexes
-// taken from them never decrease.
+// onAck handles a report of the successor's progress. Acks may be lost, duplicated and reordered, so ackedIndex and
+// commitIndex never decrease.
 func (c *core) onAck(from view.Member, m Ack) {
 	if m.Epoch < c.epoch() {
 		c.sendView(from)
