--- a/internal/pool/acquire.go
+++ b/internal/pool/acquire.go
@@ -9,14 +9,15 @@
 	"sprucelane.example/sprucelane/policy"
 )
 
-// attempt is what a connection is acquired for: a *core.Attempt, whose method names these are, or a *Request.
+// attempt is a request for which a connection is acquired: a *core.Attempt or a *Request. The names of the
+// methods are those of core.Attempt.
 type attempt interface {
 	// To returns the server.
 	To() policy.ServerID
 	// By returns the deadline for dialling and writing.
 	By() time.Time
-	// Begin is called right before the first byte is written. It reports whether that may still be, and if
-	// not, why. The connection is closed if the attempt is cancelled later.
+	// Begin is called right before the first byte is written. It reports whether the byte may still be
+	// written, and returns the reason if not. A *core.Attempt that is cancelled later closes the closer.
 	Begin(io.Closer) (core.End, bool)
 }
 
@@ -31,10 +32,9 @@
 	return ""
 }
 
-// acquire returns a connection on which the first byte of the request may be written now, or the reason why
-// there is none. An idle connection must not have unread input: it would be taken for the beginning of the
-// response. This is tested last, after recheck, so that as little time as possible lies between the test and
-// the write.
+// acquire returns a connection on which the first byte of the request may be written now, or nil and the
+// reason. An idle connection must not have unread input, which would be taken for the beginning of the
+// response. This is tested last, after recheck, to keep the time between the test and the write short.
 func (p *Pool) acquire(a attempt) (*conn, core.End) {
 	for staleSeen := false; ; staleSeen = true {
 		c, end := p.idleOrDial(a, staleSeen)
@@ -63,8 +63,9 @@
 	}
 }
 
-// recheck tests again, right before the first byte, what may have changed while the connection was dialled:
-// the server may drain, have departed or have moved, or the attempt may no longer be wanted.
+// recheck reports whether the first byte may still be written on a connection, and returns the reason if not.
+// While the connection was dialled, the server may have started to drain, departed or changed its address, or
+// the attempt may have been cancelled.
 func (p *Pool) recheck(a attempt, c *conn) (core.End, bool) {
 	p.mu.Lock()
 	s := p.servers[a.To()]
@@ -76,8 +77,9 @@
 	return a.Begin(c)
 }
 
-// idleOrDial returns the idle connection that was used last, as it is the likeliest to be alive, or else
-// dials a new one. staleSeen says that an idle one was found unusable already; it is for the statistics.
+// idleOrDial returns the idle connection that was released last, as it is the most likely to be alive, or
+// dials a new one if there is none. staleSeen says that an idle connection was already found unusable; it is
+// only used for the statistics.
 func (p *Pool) idleOrDial(a attempt, staleSeen bool) (*conn, core.End) {
 	for ; ; staleSeen = true {
 		p.mu.Lock()
@@ -106,8 +108,8 @@
 	}
 }
 
-// dialNew dials a new connection. underLimit says that it is counted as open already; otherwise an idle one
-// is closed for it.
+// dialNew dials a new connection. underLimit says that it is already counted as open; otherwise an idle
+// connection is closed to make room for it.
 func (p *Pool) dialNew(a attempt, addr string, underLimit, staleSeen bool) (*conn, core.End) {
 	if !underLimit && !p.evictIdle() {
 		p.count(func(stats *Stats) { stats.LimitReached++ })
@@ -129,15 +131,15 @@
 	return c, end
 }
 
-// evictIdle closes the connection that is idle for the longest, over all servers, so that another may be
-// opened in its place. It reports whether there was one.
+// evictIdle closes the connection that has been idle for the longest, over all servers, so that another can be
+// opened in its place. It reports whether there was an idle connection.
 func (p *Pool) evictIdle() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var from *server
 	var oldest *conn
 	for _, s := range p.servers {
-		for _, c := range s.idle { // not in order of idleSince: releaseUnused leaves it as it was
+		for _, c := range s.idle { // not sorted by idleSince, which releaseUnused doesn't update
 			if oldest == nil || c.idleSince.Before(oldest.idleSince) {
 				from, oldest = s, c
 			}
@@ -148,6 +150,6 @@
 	}
 	i := slices.Index(from.idle, oldest)
 	from.idle = slices.Delete(from.idle, i, i+1)
-	oldest.Close() // the new one is counted in its place
+	oldest.Close() // p.open is not decremented: the new connection takes its place
 	return true
 }
--- a/internal/pool/chunked.go
+++ b/internal/pool/chunked.go
@@ -10,29 +10,29 @@
 	"strings"
 )
 
-// chunkedReader decodes a chunked body (RFC 9112, section 7.1), and returns what has arrived as soon as there
-// is something. The standard library's reader waits for a whole chunk if it has a part of one, and a server
-// may pause within a chunk. The trailer section is read and discarded.
+// chunkedReader decodes a chunked body (RFC 9112, section 7.1), and returns data as soon as any has arrived.
+// The reader of the standard library waits for the whole chunk if it has a part of it, and a server may pause
+// within a chunk. The trailer section is read and discarded.
 type chunkedReader struct {
 	reader    *bufio.Reader
 	state     chunkState
-	remaining int64 // bytes of the chunk
+	remaining int64 // unread bytes of the current chunk
 }
 
-// chunkState is what is read next.
+// chunkState is the element of the encoding that is read next.
 type chunkState uint8
 
 const (
 	atSize    chunkState = iota // the line with a chunk's size
-	atData                      // a chunk's data
-	atDataEnd                   // the line end behind the data
+	atData                      // the data of a chunk
+	atDataEnd                   // the line end after the data
 	atTrailer                   // the lines after the last chunk
 	atEnd                       // nothing more
 )
 
 var errMalformedChunk = errors.New("pool: malformed chunked encoding")
 
-// Read may return 0 bytes and no error after it has read framing only.
+// Read decodes up to len(p) bytes. It returns 0 bytes and no error if it has read only framing.
 func (c *chunkedReader) Read(p []byte) (int, error) {
 	for len(p) > 0 {
 		switch c.state {
@@ -79,7 +79,7 @@
 	return 0, nil
 }
 
-// lineEndsNeeded is the number of lines, by state, that must have been received for a read to return data or
+// lineEndsNeeded has, by state, the number of line ends that must be buffered before a read can return data or
 // the end.
 var lineEndsNeeded = [...]int{atSize: 1, atData: 0, atDataEnd: 2, atTrailer: 1}
 
@@ -92,8 +92,8 @@
 	return len(available) > 0 && bytes.Count(available, []byte{'\n'}) >= lineEndsNeeded[c.state]
 }
 
-// bodyReader returns a reader of a response's body that returns what has arrived, and a function that reports
-// whether a read would return without waiting.
+// bodyReader returns a reader of a response's body that returns data as it arrives, and a function that
+// reports whether a read would return without waiting.
 func bodyReader(in *bufio.Reader, resp *http.Response) (body io.Reader, ready func() bool) {
 	if len(resp.TransferEncoding) > 0 {
 		c := &chunkedReader{reader: in}
--- a/internal/pool/conn.go
+++ b/internal/pool/conn.go
@@ -12,29 +12,30 @@
 	"sprucelane.example/sprucelane/internal/core"
 )
 
-// errReadLimit is returned by reads beyond the maximum size of a head or a body.
+// errReadLimit is the error of reads beyond the maximum size of a head or a body.
 var errReadLimit = errors.New("pool: response exceeds its maximum size")
 
-// readBufferSize is the size of a connection's read buffer in bytes: a head usually fits, and idle
-// connections hold one each.
+// readBufferSize is the size of a connection's read buffer in bytes. A head usually fits. It is not larger
+// because each idle connection holds one.
 const readBufferSize = 2 << 10
 
-// conn is a connection to a server. It belongs to one goroutine, or to an idle list under the pool's mutex.
+// conn is a connection to a server. It is owned by one goroutine, or is in an idle list, guarded by the pool's
+// mutex.
 type conn struct {
 	net.Conn
 	peeker    Peeker        // nil: unread input can't be detected
-	reader    *bufio.Reader // of this conn, so that reads are counted and bounded
+	reader    *bufio.Reader // reads through conn.Read, which counts and limits the bytes
 	readLimit int64         // bytes that may still be read; set anew for each head and body
 	addr      string
-	used      bool          // a request was written on it
-	idleSince time.Time     // zero: it was never idle
-	keepAlive time.Duration // the idle timeout from the server's last Keep-Alive header; 0: it gave none
-	readErr   error         // final error of reads: how the input has ended
+	used      bool          // writing a request on it was started
+	idleSince time.Time     // zero: never idle so far
+	keepAlive time.Duration // the timeout in the server's last Keep-Alive header; 0: none
+	readErr   error         // final error of reads; nil while the input is open
 }
 
-// Read reads at most readLimit bytes, so that a peer that sends without an end can't fill the memory. It
-// keeps a final error: the kernel reports a reset only once and an end of file from then on, which would make
-// a reset body look complete.
+// Read reads at most readLimit bytes, so that a peer that sends without end can't exhaust the memory. It
+// returns a final error again on further calls: the kernel reports a reset only once and end of file from then
+// on, which would make a truncated body look complete.
 func (c *conn) Read(b []byte) (int, error) {
 	if c.readLimit <= 0 {
 		return 0, errReadLimit
@@ -50,13 +51,13 @@
 	return n, err
 }
 
-// writeAll writes bytes and reports whether all of them were accepted by the kernel.
+// writeAll writes b and reports whether the kernel has accepted all of it.
 func (c *conn) writeAll(b []byte) bool {
 	n, _ := c.Write(b)
 	return n == len(b)
 }
 
-// hasUnread reports whether bytes or an end have arrived that were not read yet.
+// hasUnread reports whether unread bytes, a close or a reset have arrived.
 func (c *conn) hasUnread() bool {
 	if c.reader.Buffered() > 0 {
 		return true
@@ -66,13 +67,14 @@
 	}
 	anything, end := c.peeker.Arrived()
 	if end != nil {
-		c.readErr = end // the kernel reports it once
+		c.readErr = end // kept, as the kernel reports it only once
 	}
 	return anything
 }
 
-// Peeker is implemented by connections that can tell, without reading, whether bytes or an end have arrived
-// that were not read yet. end is the error of the input, if it has ended with one.
+// Peeker is implemented by connections that can detect unread input without reading it. Arrived reports
+// whether unread bytes, a close or a reset have arrived. end is the error with which the input has ended, if
+// any.
 type Peeker interface {
 	Arrived() (anything bool, end error)
 }
@@ -80,8 +82,9 @@
 // socketPeeker is the Peeker of connections with a file descriptor.
 type socketPeeker struct{ raw syscall.RawConn }
 
-// newPeeker returns a connection's Peeker, or nil if there is none. It must get the connection below TLS:
-// what has arrived there, a closing alert included, makes the connection unfit for a request.
+// newPeeker returns the Peeker of a connection, or nil if there is none. It must be called with the connection
+// below TLS: any input that has arrived there, including a TLS close alert, makes the connection unusable for a
+// request.
 func newPeeker(conn net.Conn) Peeker {
 	if peeker, ok := conn.(Peeker); ok {
 		return peeker
@@ -97,8 +100,8 @@
 	return socketPeeker{raw}
 }
 
-// Arrived peeks at the socket's receive buffer. A reset is reported by this call only once, and not by later
-// reads.
+// Arrived peeks at the socket's receive buffer. The kernel reports a reset to this call only, and not to later
+// calls or reads.
 func (s socketPeeker) Arrived() (anything bool, end error) {
 	err := s.raw.Read(func(fd uintptr) bool {
 		var b [1]byte
@@ -111,7 +114,7 @@
 	return anything || err != nil, end
 }
 
-// unexpectedEOF replaces io.EOF, for reads that ended before the message did.
+// unexpectedEOF replaces io.EOF by io.ErrUnexpectedEOF, for input that ended before the message did.
 func unexpectedEOF(err error) error {
 	if errors.Is(err, io.EOF) {
 		return io.ErrUnexpectedEOF
@@ -119,7 +122,8 @@
 	return err
 }
 
-// endOfReadError returns the end of an attempt whose response could not be read: a time-out or a reset.
+// endOfReadError returns the core.End for an error in reading a response: a time-out, or a reset for any other
+// error.
 func endOfReadError(err error) core.End {
 	var netErr net.Error
 	if errors.As(err, &netErr) && netErr.Timeout() {
--- a/internal/pool/dial.go
+++ b/internal/pool/dial.go
@@ -11,7 +11,7 @@
 )
 
 // connect dials a server, with TLS if configured. The caller has counted the connection as open; connect
-// takes that back if it fails.
+// decrements the count if it fails.
 func (p *Pool) connect(a attempt, addr string) (*conn, core.End) {
 	raw, err := p.dialTransport(a, addr)
 	if err != nil {
--- a/internal/pool/earlyresponse_tcp_test.go
+++ b/internal/pool/earlyresponse_tcp_test.go
@@ -15,8 +15,8 @@
 	"sprucelane.example/sprucelane/policy"
 )
 
-// Over TCP a response that arrived before a reset can still be read after it, as memorynet has it: the kernel
-// reports the reset to the write, and gives what had arrived before it to the next read.
+// Over TCP a response that arrived before a reset can still be read after it: the kernel reports the reset to
+// the write, and returns the earlier input to the next read. The tests with memorynet rely on this.
 func TestEarlyResponseBeforeResetOverTCP(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -36,7 +36,7 @@
 	p := New(Options{MaxConnections: 9, IdleTimeout: testIdleTimeout, ConnectTimeout: time.Second})
 	defer p.Close()
 	p.Set(1, l.Addr().String(), policy.Ready)
-	body := newRequest(8 << 20) // more than the socket buffers take
+	body := newRequest(8 << 20) // more than the socket buffers hold
 	for range 10 {
 		body.Deadline = time.Now().Add(2 * time.Second)
 		x, end := p.Send(context.Background(), body)
--- a/internal/pool/earlyresponse_test.go
+++ b/internal/pool/earlyresponse_test.go
@@ -27,8 +27,8 @@
 	testIdleTimeout = 10 * time.Second // of an idle connection
 )
 
-// runInMemory runs a test in virtual time, with a pool whose one server handles each connection by a
-// function.
+// runInMemory runs a test in virtual time, with a pool that has one server, which calls serve for each
+// connection.
 func runInMemory(t *testing.T, serve func(*memorynet.Conn), run func(*Pool)) {
 	synctest.Test(t, func(t *testing.T) {
 		network := &memorynet.Network{
@@ -50,11 +50,11 @@
 		run(p)
 		p.Close()
 		l.Close()
-		time.Sleep(testLatency + 1) // until the closes have arrived
+		time.Sleep(testLatency + 1) // until the closes of connections have arrived
 	})
 }
 
-// newRequest returns a request with a body of so many bytes.
+// newRequest returns a request with a body of length bytes.
 func newRequest(length int) *Request {
 	return &Request{
 		Server:   1,
@@ -69,7 +69,8 @@
 
 const okResponse = okHead + "Content-Length: 2\r\n\r\nok"
 
-// respondAfter responds after reading the head and so many bytes of the body.
+// respondAfter returns a server that writes text after it has read the head and read bytes of the body, and then
+// calls a function.
 func respondAfter(read int, text string, then func(c *memorynet.Conn, in *bufio.Reader)) func(*memorynet.Conn) {
 	return func(c *memorynet.Conn) {
 		in := bufio.NewReaderSize(c, 16)
@@ -83,9 +84,9 @@
 	}
 }
 
-// A server responds before it has read a long body, and then reads no further or ends the connection: the
-// exchange returns its response, no byte of another request is sent in place of the rest, and the next
-// request gets another connection.
+// A server responds before it has read a long body, and then stops reading or ends the connection. The exchange
+// returns the response, no other request is written in place of the rest of the body, and the next request gets
+// another connection.
 func TestEarlyResponse(t *testing.T) {
 	const length = 200 << 10
 	for name, then := range map[string]func(*memorynet.Conn, *bufio.Reader){
@@ -96,7 +97,7 @@
 			time.Sleep(time.Second)
 			rest, _ := io.ReadAll(in)
 			if strings.Contains(string(rest), "HTTP/1.1") {
-				panic("another request came in the place of the rest")
+				panic("another request was written in place of the rest of the body")
 			}
 		},
 	} {
@@ -122,8 +123,7 @@
 	}
 }
 
-// A server that reads slowly, and responds before it has read the whole body, gets the whole body, and the
-// connection is kept.
+// A server that responds early and reads on slowly gets the complete body, and the connection is kept.
 func TestEarlyResponseWithoutStall(t *testing.T) {
 	const length = 40 << 10
 	var whole atomic.Int64
@@ -151,8 +151,8 @@
 	})
 }
 
-// If a connection is reset within the body, without a response, the request may have been executed, as the
-// server has its head; within the head it has not been.
+// If a connection is reset within the body, without a response, the request may have been executed, because the
+// server has the head. If it is reset within the head, the request was not executed.
 func TestResetAtEveryRequestByte(t *testing.T) {
 	const length = 3 * testWindow
 	head := 0
@@ -178,7 +178,8 @@
 	}
 }
 
-// A connection that was chosen and not used keeps its idle time, as its server closes it regardless.
+// A connection that was acquired and not used keeps its idle time, since for the server it has been idle
+// throughout.
 func TestReleaseUnusedKeepsIdleSince(t *testing.T) {
 	runInMemory(t, func(c *memorynet.Conn) {
 		in := bufio.NewReader(c)
@@ -210,8 +211,8 @@
 	})
 }
 
-// A response that belongs to another request can be skipped for the one that is due, and the connection is
-// not kept.
+// A response that belongs to another request can be skipped, and the next one be read. The connection is not
+// kept.
 func TestResponseAfterUnsolicitedOne(t *testing.T) {
 	const pause = 300 * time.Millisecond
 	runInMemory(t, func(c *memorynet.Conn) {
--- a/internal/pool/exchange.go
+++ b/internal/pool/exchange.go
@@ -14,16 +14,16 @@
 	"sprucelane.example/sprucelane/policy"
 )
 
-// Request is a request whose response is read by the caller, through an Exchange.
+// Request is a request whose response the caller reads through an Exchange.
 type Request struct {
 	Server    policy.ServerID
 	Deadline  time.Time           // for dialling and writing
-	Method    string              // for reading the response: one to HEAD has no body
-	WriteHead func(*bytes.Buffer) // writes the request's head as it is to go out now
+	Method    string              // used to read the response: a response to HEAD has no body
+	WriteHead func(*bytes.Buffer) // writes the head; called right before it is sent
 	Body      []byte
-	MaySend   func() bool // called right before the first byte is written; false: nothing is. nil: always true
+	MaySend   func() bool // called right before the first byte is written; if false, nothing is written. nil: true
 
-	ctx context.Context // of Send
+	ctx context.Context // the argument of Send
 }
 
 // To returns the server.
@@ -32,7 +32,7 @@
 // By returns the deadline for dialling and writing.
 func (r *Request) By() time.Time { return r.Deadline }
 
-// Begin reports whether the first byte may be written.
+// Begin reports whether the first byte may be written, and returns the reason if not.
 func (r *Request) Begin(io.Closer) (core.End, bool) {
 	switch {
 	case r.ctx.Err() != nil || !time.Now().Before(r.Deadline):
@@ -43,32 +43,32 @@
 	return core.EndNone, true
 }
 
-// Exchange is a request that was written, and its response, which is read by the caller as it arrives. The
-// caller's order of calls is ReadHead, then Read until io.EOF, then Close; Wait and Ready tell before either
-// whether there is input. An Exchange never reads ahead of its caller. It belongs to one goroutine.
+// Exchange is a request that was written, and its response, which the caller reads as it arrives. The order of
+// calls is ReadHead, then Read until io.EOF, then Close. Before ReadHead or Read, Wait waits for input; before
+// Read, Ready reports whether there is any. An Exchange reads from the connection only when its caller does. It
+// must be used by one goroutine only.
 type Exchange struct {
 	pool            *Pool
 	conn            *conn
 	server          policy.ServerID
 	method          string
-	stopCancelWatch func() bool   // stops the closing of the connection at the end of the context; false: that has begun
-	idleBefore      time.Duration // for which a reused connection was idle
+	stopCancelWatch func() bool   // stops closing the connection when the context ends; false: the closing has begun
+	idleBefore      time.Duration // idle time of a reused connection before this request
 	reused          bool          // the connection had carried requests before
 	written         writeProgress
-	responses       int // heads that were read, interim ones (1xx) not counted
+	responses       int // heads read so far, without interim responses (1xx)
 	resp            *http.Response
 	body            io.Reader
 	ready           func() bool
 	bodyEnded       bool // the body was read to its end
 }
 
-// Send writes a request. If not even its head could be written, the result is nil and the reason, and the
-// request was not executed. A server may answer before it has read a long body, and then read no more of it:
-// Send stops writing there, and the exchange gives that response, or the error with which the connection
-// broke.
+// Send writes a request. If the head could not be written completely, Send returns nil and the reason, and the
+// request was not executed. A server may respond before it has read a long body, and then stop reading it: Send
+// stops writing then, and the exchange returns that response, or the error with which the connection broke.
 //
 // When the context ends the connection is closed at once, so that the server can abandon the request. The
-// caller closes the exchange.
+// caller must close the exchange.
 func (p *Pool) Send(ctx context.Context, request *Request) (*Exchange, core.End) {
 	request.ctx = ctx
 	c, end := p.acquire(request)
@@ -88,16 +88,17 @@
 	return x, core.EndNone
 }
 
-// maxInterimResponses bounds the interim responses (1xx) that are read in search of the final one.
+// maxInterimResponses is the maximum number of interim responses (1xx) before the final one.
 const maxInterimResponses = 5
 
-// errNoFinalResponse reports too many interim responses, or a switch of protocols that was not requested.
+// errNoFinalResponse is the error for too many interim responses, or for a switch of protocols (101), which is
+// never requested.
 var errNoFinalResponse = errors.New("pool: no final response")
 
 // ReadHead reads the head of the final response, until a deadline. It may be called again for the next
-// response on the connection once the body of the last one was read to its end: a caller that recognizes a
-// response as not its own (one that was sent for an earlier request, say) can go on to the one that is due.
-// The connection is not reused then.
+// response on the connection after the body of the last one was read to the end: a caller that finds that a
+// response belongs to another request (an earlier one, for example) can go on to the response to its own. The
+// connection is not reused then.
 func (x *Exchange) ReadHead(deadline time.Time) (*http.Response, error) {
 	x.conn.readLimit = maxHeadSize
 	x.bodyEnded = false
@@ -122,14 +123,15 @@
 	return nil, errNoFinalResponse
 }
 
-// observeReuse tells the staleness estimator what became of the first use of a reused connection.
+// observeReuse reports to the staleness estimator how the first read on a reused connection has ended: err is
+// its error, or nil. It does nothing after a head was read.
 func (x *Exchange) observeReuse(err error) {
 	if x.reused && x.resp == nil {
 		x.pool.staleness.observe(x.idleBefore, err != nil && endOfReadError(err) == core.EndReset)
 	}
 }
 
-// startResponse prepares for reading the body of a response.
+// startResponse prepares the exchange for reading the body of a response.
 func (x *Exchange) startResponse(resp *http.Response) {
 	x.observeReuse(nil)
 	x.responses++
@@ -139,8 +141,8 @@
 	x.body, x.ready = bodyReader(x.conn.reader, resp)
 }
 
-// parseKeepAlive returns the timeout parameter of a Keep-Alive header, the time for which the server leaves
-// the connection idle; 0: there is none.
+// parseKeepAlive returns the timeout parameter of a Keep-Alive header, which is the time after which the server
+// closes an idle connection. It returns 0 if there is no valid one.
 func parseKeepAlive(text string) time.Duration {
 	for part := range strings.SplitSeq(text, ",") {
 		name, value, _ := strings.Cut(part, "=")
@@ -155,8 +157,8 @@
 	return 0
 }
 
-// Wait waits until unread input of the response has arrived, for ReadHead or for Read, or until a deadline.
-// After a time-out (TimedOut) it may be called again.
+// Wait waits until there is input for ReadHead or Read, or until a deadline. It returns an error if the input
+// has ended or the deadline has passed; after a time-out (see TimedOut) it may be called again.
 func (x *Exchange) Wait(deadline time.Time) error {
 	if x.conn.reader.Buffered() > 0 || x.resp != nil && !x.bodyEnded && x.resp.ContentLength == 0 {
 		return nil
@@ -175,8 +177,8 @@
 // SetReadDeadline sets the deadline of Read.
 func (x *Exchange) SetReadDeadline(deadline time.Time) { x.conn.SetReadDeadline(deadline) }
 
-// Read reads what has arrived of the body. It may return 0 bytes and no error. It returns io.EOF only after a
-// complete body.
+// Read reads from the body what has arrived, or waits for more. It may return 0 bytes and no error. It returns
+// io.EOF only at the end of a complete body.
 func (x *Exchange) Read(buf []byte) (int, error) {
 	n, err := x.body.Read(buf)
 	if errors.Is(err, io.EOF) {
@@ -185,17 +187,17 @@
 	return n, err
 }
 
-// Ready reports whether Read returns something without waiting.
+// Ready reports whether Read can return data or the end without waiting.
 func (x *Exchange) Ready() bool { return x.ready() }
 
-// Delimited reports whether the response itself says where its body ends, by a length or by chunks. A body
-// that ends with its connection may have been truncated.
+// Delimited reports whether the end of the body is marked in the response, by a length or by chunked encoding.
+// A body that ends where the connection is closed may be truncated.
 func (x *Exchange) Delimited() bool {
 	return x.resp.ContentLength >= 0 || len(x.resp.TransferEncoding) > 0
 }
 
-// Close ends the exchange. The connection is kept for further requests if nothing more is due on it, else
-// closed.
+// Close ends the exchange. It keeps the connection for further requests if it is reusable, and closes it
+// otherwise.
 func (x *Exchange) Close() {
 	notCancelled := x.stopCancelWatch()
 	if notCancelled && x.connReusable() {
@@ -205,9 +207,10 @@
 	x.pool.discard(x.conn)
 }
 
-// connReusable reports whether another request may be written on the connection. The server must have the
-// whole request, or it would read the next one as the rest of its body; and it must have sent one complete
-// response and nothing more. A server that sends responses that were not asked for may go on with it.
+// connReusable reports whether another request may be written on the connection. The complete request must have
+// been written, or else the server would read the next one as the rest of its body. The server must have sent
+// exactly one complete response and nothing more: one that has sent unsolicited responses may send further
+// ones.
 func (x *Exchange) connReusable() bool {
 	bugs := &x.pool.injected
 	requestWritten := x.written == requestComplete || bugs.reuseIncompleteRequest
@@ -215,5 +218,5 @@
 	return requestWritten && responseComplete && (x.conn.reader.Buffered() == 0 || bugs.reuseUnread)
 }
 
-// TimedOut reports whether an error of Wait, ReadHead or Read only says that its deadline has passed.
+// TimedOut reports whether an error of Wait, ReadHead or Read is that of a deadline that has passed.
 func TimedOut(err error) bool { return endOfReadError(err) == core.EndTimedOut }
--- a/internal/pool/export_test.go
+++ b/internal/pool/export_test.go
@@ -1,12 +1,12 @@
 package pool
 
-// InjectBug switches a bug on for tests outside the package.
+// InjectBug enables a bug, for tests outside the package.
 func (p *Pool) InjectBug(set func(*Bugs)) { set(&p.injected) }
 
-// Bugs are those that can be injected.
+// Bugs are the bugs that can be injected.
 type Bugs = injectedBugs
 
-// Bugs to inject.
+// Arguments of InjectBug, one for each bug.
 var (
 	SkipRecheck            = func(b *Bugs) { b.skipRecheck = true }
 	ReuseUnread            = func(b *Bugs) { b.reuseUnread = true }
--- a/internal/pool/idle.go
+++ b/internal/pool/idle.go
@@ -6,12 +6,12 @@
 	"sprucelane.example/sprucelane/policy"
 )
 
-// reusable reports whether an idle connection may carry another request: its peer should not have closed it
-// yet, and neither an end nor a stray byte has arrived.
+// reusable reports whether an idle connection may be used for another request: its idle time is within the
+// limit, and no byte, close or reset has arrived.
 func (p *Pool) reusable(c *conn) bool { return p.withinIdleTimeout(c) && !c.hasUnread() }
 
 // withinIdleTimeout reports whether a connection has been idle for at most three quarters of the time after
-// which its server closes it. The margin is for the request's way there and for clocks that differ in rate.
+// which its server closes it. The margin allows for the transit time of the request and for clocks that differ in rate.
 func (p *Pool) withinIdleTimeout(c *conn) bool {
 	limit := time.Duration(p.idleTimeout.Load())
 	if c.keepAlive > 0 {
@@ -20,14 +20,14 @@
 	return time.Since(c.idleSince) <= limit*3/4
 }
 
-// release keeps a connection for further requests after an exchange.
+// release adds a connection to the idle ones after an exchange.
 func (p *Pool) release(id policy.ServerID, c *conn) {
 	c.idleSince = time.Now()
 	p.addIdle(id, c)
 }
 
-// releaseUnused keeps a connection on which nothing was written. Its idle time goes on, as it does for the
-// server.
+// releaseUnused adds a connection on which nothing was written to the idle ones. It keeps the start of its idle
+// time, as the server measures from there too.
 func (p *Pool) releaseUnused(id policy.ServerID, c *conn) {
 	if c.idleSince.IsZero() {
 		c.idleSince = time.Now()
@@ -35,8 +35,8 @@
 	p.addIdle(id, c)
 }
 
-// addIdle adds a connection to the idle ones of its server, or closes it if the server has moved or takes
-// nothing new.
+// addIdle adds a connection to the idle ones of its server, or closes it if the server has another address or
+// accepts no new requests.
 func (p *Pool) addIdle(id policy.ServerID, c *conn) {
 	c.SetDeadline(time.Time{})
 	p.mu.Lock()
@@ -57,14 +57,14 @@
 	p.noteClosed()
 }
 
-// noteClosed counts one open connection less.
+// noteClosed decrements the number of open connections.
 func (p *Pool) noteClosed() {
 	p.mu.Lock()
 	p.open--
 	p.mu.Unlock()
 }
 
-// sweepIdle closes idle connections that can't be reused, once a second, until Close.
+// sweepIdle closes idle connections that are not reusable, once a second, until Close.
 func (p *Pool) sweepIdle() {
 	ticker := time.NewTicker(time.Second)
 	defer ticker.Stop()
@@ -78,8 +78,8 @@
 	}
 }
 
-// closeIdle closes the idle connections that are unusable, and forgets servers that have departed. The
-// function is called with the mutex held.
+// closeIdle closes the idle connections for which unusable returns true, and removes departed servers that have
+// no idle connections left. unusable is called with the mutex held.
 func (p *Pool) closeIdle(unusable func(*server, *conn) bool) {
 	var closing []*conn
 	p.mu.Lock()
--- a/internal/pool/idle_test.go
+++ b/internal/pool/idle_test.go
@@ -15,7 +15,7 @@
 	"sprucelane.example/sprucelane/policy"
 )
 
-// idleConn returns a connection that has been idle for so long.
+// idleConn returns a connection that has been idle for the given time.
 func idleConn(t *testing.T, idle time.Duration) *conn {
 	t.Helper()
 	near, far := net.Pipe()
@@ -23,8 +23,8 @@
 	return &conn{Conn: near, idleSince: time.Now().Add(-idle)}
 }
 
-// TestEvictsLongestIdle: a connection that was taken and not used keeps its idle time, so the one that is idle for the
-// longest isn't always the first of its server's.
+// TestEvictsLongestIdle checks that the connection with the longest idle time is closed. It isn't always the first in
+// the list of its server, because a connection that was acquired and not used keeps its idle time.
 func TestEvictsLongestIdle(t *testing.T) {
 	p := New(Options{MaxConnections: 9, IdleTimeout: time.Hour, ConnectTimeout: time.Second})
 	t.Cleanup(p.Close)
@@ -42,8 +42,8 @@
 	assert.False(t, p.evictIdle())
 }
 
-// TestInterimResponses: a response of the daemon and one of the system are both found behind maxInterimResponses
-// interim ones, and neither behind more.
+// TestInterimResponses checks that both Exchange.ReadHead and readResponse find the final response after
+// maxInterimResponses interim ones, and return an error after more.
 func TestInterimResponses(t *testing.T) {
 	p := New(Options{MaxConnections: 9, IdleTimeout: time.Hour, ConnectTimeout: time.Second})
 	t.Cleanup(p.Close)
@@ -59,6 +59,6 @@
 		assert.Equal(t, found, err == nil, "%d interim responses: %v", interim, err)
 		attempt := &core.Attempt{Until: time.Now().Add(time.Minute)}
 		end, _, _ := connect().readResponse(p, attempt, &Message{Method: http.MethodGet})
-		assert.Equal(t, found, end != core.EndReset, "%d interim responses end as %v", interim, end)
+		assert.Equal(t, found, end != core.EndReset, "%d interim responses: end %v", interim, end)
 	}
 }
--- a/internal/pool/injected_bugs.go
+++ b/internal/pool/injected_bugs.go
@@ -1,11 +1,11 @@
 package pool
 
-// injectedBugs switches off mechanisms, one by one. Tests set them to show that their checks find such a bug;
-// they are always false otherwise.
+// injectedBugs disables individual mechanisms. Tests set a field to show that their checks detect the resulting
+// bug; in production all fields are false.
 type injectedBugs struct {
-	skipRecheck            bool // a server that begins to drain while a connection is dialled gets the request
-	reuseUnread            bool // a connection is reused though more than one response has arrived on it
-	partialIsNotSent       bool // a request whose head was written, but not all of its body, counts as not sent
-	acceptTornHead         bool // a head that begins within another is accepted
-	reuseIncompleteRequest bool // a connection is reused though a request's body was written only in part
+	skipRecheck            bool // a server that starts to drain while a connection is dialled still gets the request
+	reuseUnread            bool // a connection is reused although it has unread input, such as a second response
+	partialIsNotSent       bool // a request with a complete head and an incomplete body is reported as not sent
+	acceptTornHead         bool // a response head that begins within a truncated one is accepted
+	reuseIncompleteRequest bool // a connection is reused after a request whose body was written incompletely
 }
--- a/internal/pool/loadreport.go
+++ b/internal/pool/loadreport.go
@@ -6,10 +6,11 @@
 	"strings"
 )
 
-const maxLoadReportSize = 1 << 10 // bytes; longer ones are ignored
+const maxLoadReportSize = 1 << 10 // bytes; longer reports are ignored
 
-// parseLoadReport parses a load report. The result has the value of each field at its index, NaN if the field
-// is missing or malformed, and nothing for unknown fields. nil: nothing is known.
+// parseLoadReport parses a load report. The result has the value of each field at its index, and NaN for a
+// missing or malformed one; it ends with the last field that has a value. Unknown fields are ignored. The
+// result is nil if no field has a value.
 func parseLoadReport(text string, fields map[string]int) (list []float32) {
 	if text == "" || len(fields) == 0 || len(text) > maxLoadReportSize {
 		return nil
@@ -29,7 +30,8 @@
 	return list
 }
 
-// parseTrueCost parses the number of units that a request has cost; 0 if it is missing or malformed.
+// parseTrueCost parses the cost of a request in units. It returns 0 if the text is empty, malformed or out of
+// range.
 func parseTrueCost(text string) float64 {
 	x, err := strconv.ParseFloat(text, 64)
 	if err != nil || !(x > 0 && x <= math.MaxUint16) {
--- a/internal/pool/message.go
+++ b/internal/pool/message.go
@@ -11,51 +11,53 @@
 	"time"
 )
 
-// Headers of the daemon's protocol with servers.
+// Headers of the protocol between the daemon and servers.
 const (
-	HeaderTrueCost = "X-True-Cost" // of a 200 response: the request's cost in units, if that is settled afterwards
-	HeaderLoad     = "X-Load"      // a load report: name=value, separated by commas, in any order
-	HeaderNotRun   = "X-Not-Run"   // "1" with 503 or 504: the server has not executed the request, and will not
+	HeaderTrueCost = "X-True-Cost" // in a 200 response: the cost of the request in units, if it is known only afterwards
+	HeaderLoad     = "X-Load"      // a load report: name=value pairs, separated by commas, in any order
+	HeaderNotRun   = "X-Not-Run"   // "1" in a 503 or 504 response: the server has not executed the request, and will not
 	headerDeadline = "X-Deadline-Ms"
 )
 
 const (
-	// MaxBufferedBody is the size, in bytes, up to which a request body is kept whole and a response is
-	// buffered whole.
+	// MaxBufferedBody is the size, in bytes, up to which bodies of requests and responses are buffered
+	// completely.
 	MaxBufferedBody = 64 << 10
-	// MaxBufferedResponse is the maximum size of a response with Options.BufferResponses.
+	// MaxBufferedResponse is the maximum size, in bytes, of the body of a response with
+	// Options.BufferResponses.
 	MaxBufferedResponse = 1 << 20
-	// MaxBodySize is the maximum size of a body: 32 MB by the protocol, with a margin for those who count
-	// differently.
+	// MaxBodySize is the maximum size of a body in bytes. The protocol allows 32 MB; the margin is for peers
+	// that count the size differently.
 	MaxBodySize = 40 << 20
-	// StreamBufferSize is the size of the buffer through which the remainder of a long body passes.
+	// StreamBufferSize is the size, in bytes, of the buffer through which the rest of a long body is streamed.
 	StreamBufferSize = 16 << 10
-	// StallTimeout is the time for which either side may neither give nor take a byte of a long body.
+	// StallTimeout is the maximum time without progress in streaming a long body, on either side.
 	StallTimeout = 10 * time.Second
 
-	// maxFramingFactor bounds what may be read of a body, as a multiple of its maximum size, since chunks
-	// have framing of any length. What the chunks contain is bounded separately.
+	// maxFramingFactor limits the bytes read for a body, chunk framing included, to this multiple of the
+	// body's maximum size, since the framing of chunks can be of any length. The data in the chunks is limited
+	// separately.
 	maxFramingFactor = 8
 
-	maxHeadSize      = 16 << 10 // of a response, interim responses included
-	maxCoalescedBody = 4 << 10  // of a body that is written together with its head
-	maxChunkSizeLine = 6        // of a chunk of up to StreamBufferSize: four digits and the line end
+	maxHeadSize      = 16 << 10 // bytes; of a response head, interim responses included
+	maxCoalescedBody = 4 << 10  // bytes; of a body that is written together with its head
+	maxChunkSizeLine = 6        // bytes; for a chunk of up to StreamBufferSize: four digits and the line end
 	lastChunk        = "0\r\n\r\n"
 )
 
-// Message is the request of a core.Attempt, as the daemon passes it on.
+// Message is the request of a core.Attempt, in the form in which it is sent to the server.
 type Message struct {
 	Method, Target, Host string
-	Header               []byte    // complete lines, each with its line end
-	Body                 []byte    // all of it, or its beginning
-	Remainder            io.Reader // the rest of the body, which can be read once; nil: there is none
-	ContentLength        int64     // of Body and Remainder together if there is a Remainder; negative: unknown
+	Header               []byte    // complete header lines, each with its line end
+	Body                 []byte    // the complete body, or its beginning
+	Remainder            io.Reader // the rest of the body, which can be read only once; nil: Body is complete
+	ContentLength        int64     // of Body and Remainder together; negative: unknown. Ignored if Remainder is nil
 
-	remainderRead atomic.Bool // something of Remainder was read: the message can't be sent again
+	remainderRead atomic.Bool // reading Remainder was started, so the message can't be sent again
 }
 
-// writeHead writes the head. remaining is the time until the deadline, which goes to the server in
-// X-Deadline-Ms.
+// writeHead writes the head of the request to b. remaining is the time until the deadline, which is sent to the
+// server in X-Deadline-Ms.
 func (m *Message) writeHead(b *bytes.Buffer, remaining time.Duration) {
 	b.WriteString(m.Method)
 	b.WriteByte(' ')
@@ -81,10 +83,10 @@
 	b.WriteString("\r\n")
 }
 
-// headBuffers has buffers for heads, and for short bodies behind them.
+// headBuffers has buffers for heads and the short bodies that are written with them.
 var headBuffers = sync.Pool{New: func() any { return new(bytes.Buffer) }}
 
-// writeBeginning writes the head and what is kept of the body, and reports whether all of it was written.
+// writeBeginning writes the head and Body, and reports whether both were written completely.
 func (m *Message) writeBeginning(c *conn, remaining time.Duration) (complete bool) {
 	b := headBuffers.Get().(*bytes.Buffer)
 	defer headBuffers.Put(b)
--- a/internal/pool/pool_test.go
+++ b/internal/pool/pool_test.go
@@ -15,7 +15,7 @@
 	"sprucelane.example/sprucelane/policy"
 )
 
-// carrierFunc lets a test interfere with an attempt.
+// carrierFunc is a core.Carrier with which a test can interfere with an attempt.
 type carrierFunc func(f *core.Attempt) (core.End, core.Answer)
 
 func (c carrierFunc) Carry(f *core.Attempt) (core.End, core.Answer) { return c(f) }
@@ -59,21 +59,21 @@
 	assert.Equal(t, Stats{Reused: 4, Opened: 1, Open: 1, Idle: 1}, p.Stats())
 }
 
-// The server closes an idle connection: a request that was written to it afterwards would count as possibly
-// executed.
+// The server closes an idle connection. No request may be written on it afterwards, since it would count as
+// possibly executed.
 func TestCloseWhileIdleIsDetected(t *testing.T) {
 	m := fake.New(t, fake.Then(fake.OK("a")))
 	p, ask := newTestPool(t, 9, carry, m)
 	require.Equal(t, core.Served, ask().Kind)
 	require.Eventually(t, func() bool {
 		idle := p.idle(1)
-		return len(idle) == 0 || !p.reusable(idle[0]) // the close has come in
+		return len(idle) == 0 || !p.reusable(idle[0]) // the close has arrived
 	}, time.Minute, time.Millisecond)
 	assert.Equal(t, core.Served, ask().Kind)
 	assert.Len(t, m.Seen(), 2)
 }
 
-// Connections expire before the server's own timeout, not at it.
+// Connections expire before the idle timeout of the server, not at the same time.
 func TestExpiredIdleConnectionIsNotReused(t *testing.T) {
 	m := fake.New(t, fake.OK("a"))
 	p, ask := newTestPool(t, 9, carry, m)
@@ -85,8 +85,8 @@
 	assert.Equal(t, 2, m.Opened())
 }
 
-// A server starts to drain while a connection is dialled: not a byte follows, and the request goes to another
-// one.
+// A server starts to drain while a connection to it is dialled. No byte is written on the connection, and the
+// request is sent to another server.
 func TestDrainWhileDialling(t *testing.T) {
 	a, b := fake.New(t, fake.OK("a")), fake.New(t, fake.OK("b"))
 	var drained policy.ServerID
@@ -114,7 +114,7 @@
 	assert.LessOrEqual(t, opened, 1)
 }
 
-// A server is removed while a connection is dialled: the attempt ends, and the process does not crash.
+// A server is removed while a connection to it is dialled. The attempt ends, and the process does not crash.
 func TestRemovalWhileDialling(t *testing.T) {
 	a := fake.New(t, fake.OK("a"))
 	_, ask := newTestPool(t, 9, func(p *Pool, f *core.Attempt) (core.End, core.Answer) {
@@ -132,7 +132,7 @@
 	assert.Empty(t, a.Seen())
 }
 
-// A head without an end is cut off at the maximum size, long before the attempt's deadline.
+// An endless head is cut off at the maximum size, long before the deadline of the attempt.
 func TestHeadWithoutEnd(t *testing.T) {
 	m := fake.New(t, func(_ *fake.Peer, c net.Conn, _ fake.Seen) bool {
 		_, err := io.WriteString(c, "HTTP/1.1 200 OK\r\n")
@@ -150,8 +150,8 @@
 	assert.Equal(t, core.Failed, ask().Kind)
 }
 
-// A reused connection that breaks at the next request is reported as stale: that says nothing of the health
-// of its server.
+// A reused connection that breaks at the next request is reported as stale, because that says nothing about the
+// health of the server.
 func TestStaleConnection(t *testing.T) {
 	m := fake.New(t, fake.OK("a"), fake.Reset, fake.Reset)
 	var ends []core.End
@@ -166,8 +166,8 @@
 	assert.Equal(t, []core.End{core.EndServed, core.EndStale, core.EndReset}, ends)
 }
 
-// The idle time at which connections break is learnt, for requests that are not idempotent from the first
-// failure, and forgotten again.
+// The estimator avoids an idle time at which connections break, for requests that are not idempotent from the
+// first failure on, and uses it again after the counts have decayed.
 func TestStalenessEstimator(t *testing.T) {
 	var a stalenessEstimator
 	old, young := 200*time.Millisecond, 20*time.Millisecond
@@ -180,13 +180,13 @@
 	assert.False(t, a.likelyStale(old, "GET"))
 	a.observe(old, true)
 	assert.True(t, a.likelyStale(old, "GET"))
-	a.observe(young, true) // one of many
+	a.observe(young, true) // one failure in more than 100 requests
 	assert.False(t, a.likelyStale(young, "POST"))
 	a.decayedAt = a.decayedAt.Add(-3 * decayTimeConstant)
 	assert.False(t, a.likelyStale(old, "POST"))
 }
 
-// The bound on connections holds: an idle connection is closed for one that is needed.
+// The limit on connections is kept: an idle connection is closed to make room for a new one.
 func TestDescriptorBudget(t *testing.T) {
 	a, b := fake.New(t, fake.OK("a")), fake.New(t, fake.OK("b"))
 	n := 0
@@ -205,7 +205,7 @@
 	p.mu.Unlock()
 }
 
-// A connection that was refused carried nothing: requests that are not idempotent may go elsewhere.
+// After a refused connection a request that is not idempotent may be sent to another server, as nothing was sent.
 func TestRefusedConnection(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
--- a/internal/pool/race_test.go
+++ b/internal/pool/race_test.go
@@ -15,9 +15,9 @@
 	"sprucelane.example/sprucelane/policy"
 )
 
-// The first attempt of a keyed request is reset, and the connection of the second is established only when
-// the window for retries has passed: not a byte is written on it, though the attempt was started in time. The
-// request fails at once.
+// The first attempt of a request with an idempotency key is reset, and the connection of the second is
+// established only after the window for retries has passed. No byte is written on it, although the attempt was
+// started in time, and the request fails at once.
 func TestConnectedAfterRetryWindow(t *testing.T) {
 	const window = 300 * time.Millisecond
 	m := fake.New(t, fake.Reset, fake.OK("again"))
@@ -46,15 +46,15 @@
 	assert.Contains(t, c.Counters().String(), "ended_lapsed=1")
 }
 
-// Bytes that answer no request, or an end, arrive on an idle connection just when it has been chosen: a whole
-// response, half a status line, a close, a reset. No request is written there, nothing is taken for its
-// response, and it goes out on a new connection.
+// Unsolicited input arrives on an idle connection right after it was acquired: a complete response, a part of a
+// status line, a close or a reset. The request must not be written on it, nor the input be taken for its
+// response; the request is sent on a new connection.
 func TestUnsolicitedBytesOnIdleConnection(t *testing.T) {
 	for name, event := range map[string]func(net.Conn){
-		"a second answer": func(c net.Conn) { io.WriteString(c, okHead+"Content-Length: 5\r\n\r\nother") },
-		"half a line":     func(c net.Conn) { io.WriteString(c, "HTTP/1.1 2") },
-		"a close":         func(c net.Conn) { c.Close() },
-		"a reset":         func(c net.Conn) { c.(*net.TCPConn).SetLinger(0); c.Close() },
+		"a second response": func(c net.Conn) { io.WriteString(c, okHead+"Content-Length: 5\r\n\r\nother") },
+		"half a line":       func(c net.Conn) { io.WriteString(c, "HTTP/1.1 2") },
+		"a close":           func(c net.Conn) { c.Close() },
+		"a reset":           func(c net.Conn) { c.(*net.TCPConn).SetLinger(0); c.Close() },
 	} {
 		conns := make(chan net.Conn, 2)
 		m := fake.New(t, func(_ *fake.Peer, c net.Conn, _ fake.Seen) bool {
@@ -68,7 +68,7 @@
 		p.onConnected = func(f *core.Attempt) {
 			if attempts++; attempts == 1 {
 				event(<-conns)
-				// Over loopback the event has arrived by now, and a peek would show it.
+				// Over loopback the input has arrived by now, and a peek would detect it.
 			}
 		}
 		a := ask()
@@ -80,18 +80,18 @@
 	}
 }
 
-// A connection is established when its attempt is no longer wanted: the client has left, the process gives
-// all requests up, or the server drains. Not a byte is written, and the connection is kept for the next
-// request unless the server drains.
+// A connection is established after its attempt was cancelled: the client has left, the process shuts down, or
+// the server drains. No byte is written, and the connection is kept for the next request unless the server
+// drains.
 func TestConnectedAfterCancellation(t *testing.T) {
 	for name, test := range map[string]struct {
 		happens func(p *Pool, c *core.Core, leave func())
 		kind    core.AnswerKind
 		kept    int
 	}{
-		"the client left":  {func(_ *Pool, _ *core.Core, leave func()) { leave() }, core.ClientGone, 1},
-		"all was given up": {func(_ *Pool, c *core.Core, _ func()) { c.Shutdown() }, core.Failed, 1},
-		"its member drains": {func(p *Pool, c *core.Core, _ func()) {
+		"the client left": {func(_ *Pool, _ *core.Core, leave func()) { leave() }, core.ClientGone, 1},
+		"shutdown":        {func(_ *Pool, c *core.Core, _ func()) { c.Shutdown() }, core.Failed, 1},
+		"the server drains": {func(p *Pool, c *core.Core, _ func()) {
 			p.Set(1, "127.0.0.1:1", policy.Draining)
 			c.Servers(policy.ListChanges, []policy.ServerInfo{{ID: 1, State: policy.Draining}})
 		}, core.Refused, 0},
@@ -109,7 +109,7 @@
 		answered, on := make(chan bool), make(chan bool)
 		p.onConnected = func(*core.Attempt) {
 			test.happens(p, c, leave)
-			if test.kind != core.Refused { // in which case the answer follows from this attempt's end
+			if test.kind != core.Refused { // with Refused, the answer is given only after this attempt has ended
 				<-answered
 			}
 			close(on)
--- a/internal/pool/response.go
+++ b/internal/pool/response.go
@@ -12,16 +12,17 @@
 )
 
 const (
-	// holdBackTimeout is the time for which the beginning of a response is held back while more may follow.
-	// An attempt that fails at once can be retried only while nothing of the response has been passed on.
+	// holdBackTimeout is the time for which the beginning of a response is held back while more may follow. An
+	// attempt whose response breaks off early can be retried only if no part of it has been passed on.
 	holdBackTimeout = 100 * time.Millisecond
-	// shortReadTimeout bounds reading what doesn't change the result: the body of an error response, or the
-	// head of one that was sent before its request was complete.
+	// shortReadTimeout limits the time for reading the body of an error response, which doesn't change the
+	// result, and the head of a response that was sent before its request was complete.
 	shortReadTimeout = 100 * time.Millisecond
 )
 
-// readResponse reads a response, to its end or as far as it is held back. Only 200 counts as success; the
-// body of another status is discarded, for the sake of reusing the connection.
+// readResponse reads a response, to its end or as much as is held back (see holdBackTimeout). Only status 200
+// counts as success. The body of a response with another status is read and discarded, so that the connection
+// can be reused.
 func (c *conn) readResponse(p *Pool, attempt *core.Attempt, msg *Message) (
 	end core.End, answer core.Answer, reuse bool) {
 	var resp *http.Response
@@ -80,30 +81,30 @@
 	return core.EndServed, answer, false
 }
 
-// isNotRun reports whether a response says that the server has not executed the request.
+// isNotRun reports whether a response states that the server has not executed the request.
 func isNotRun(resp *http.Response) bool {
 	return (resp.StatusCode == http.StatusServiceUnavailable || resp.StatusCode == http.StatusGatewayTimeout) &&
 		resp.Header.Get(HeaderNotRun) == "1"
 }
 
-// responseBody is the body of a response: its beginning in buffered, and Read for the rest. Once readResponse
-// has returned it as an answer's Remainder it owns its connection, until Close.
+// responseBody is the body of a response: the beginning is in buffered, and Read returns the rest. When
+// readResponse has returned it as the Remainder of an answer, it owns the connection until Close.
 type responseBody struct {
-	conn     *conn // nil: closed
+	conn     *conn // nil after Close
 	pool     *Pool
 	server   policy.ServerID
 	resp     *http.Response
 	reader   io.Reader
-	ready    func() bool // a read returns without waiting
+	ready    func() bool // reports whether a read would return without waiting
 	buffered []byte
-	reserved int64 // bytes of Options.ResponseMemory
-	streamed int64 // bytes read after the beginning
+	reserved int64 // bytes acquired from Options.ResponseMemory
+	streamed int64 // bytes returned by Read, after the beginning
 	ended    bool  // the body was read to its end
 }
 
-// bufferBeginning buffers the body up to a limit, and reports whether that is all of it. With mayReturnEarly
-// it returns less once no more has arrived for holdBackTimeout. The buffer grows in steps, as a length that a
-// server claims may be far beyond what it sends.
+// bufferBeginning buffers the body up to a limit, and reports whether the buffer has the complete body. With
+// mayReturnEarly it may return less after holdBackTimeout (see fill). The buffer grows in steps, as the length
+// that a server announces may be much larger than what it sends.
 func (b *responseBody) bufferBeginning(limit int64, deadline time.Time,
 	mayReturnEarly bool) (complete bool, err error) {
 	for size := min(limit, StreamBufferSize); ; size = min(2*size, limit) {
@@ -129,7 +130,8 @@
 	}
 }
 
-// endsWhenFull reports whether a body that fills the limit ends there.
+// endsWhenFull reports whether a body of which limit bytes are buffered is known to end there. It returns
+// errReadLimit if it isn't and the response must be buffered completely.
 func (b *responseBody) endsWhenFull(limit int64) (bool, error) {
 	if b.resp.ContentLength == limit || limit == 0 {
 		b.ended = true
@@ -141,8 +143,8 @@
 	return false, nil
 }
 
-// fill reads until the buffer is full or the body ends, and reports the latter. With mayReturnEarly it
-// returns once it has something and holdBackTimeout has passed.
+// fill reads until the buffer is full or the body ends, and reports whether the body has ended. With
+// mayReturnEarly it returns as soon as there is some data and holdBackTimeout has passed since the call.
 func (b *responseBody) fill(deadline time.Time, mayReturnEarly bool) (complete bool, err error) {
 	holdBackUntil := time.Now().Add(holdBackTimeout)
 	for len(b.buffered) < cap(b.buffered) {
@@ -170,7 +172,7 @@
 	return false, nil
 }
 
-// Read reads the body after its beginning.
+// Read reads the body after the buffered beginning.
 func (b *responseBody) Read(buf []byte) (int, error) {
 	b.conn.SetReadDeadline(time.Now().Add(StallTimeout))
 	n, err := b.reader.Read(buf)
@@ -183,7 +185,7 @@
 	return n, err
 }
 
-// Close releases the connection if the body was read to its end, and closes it otherwise.
+// Close releases the connection if it is reusable, and closes it otherwise. Further calls do nothing.
 func (b *responseBody) Close() error {
 	if b.conn == nil {
 		return nil
@@ -197,13 +199,13 @@
 	return nil
 }
 
-// connReusable reports whether another request may be written on the connection: the body has ended, and
-// nothing has followed it.
+// connReusable reports whether another request may be written on the connection: the body was read to the end,
+// no bytes followed it, and the server has not announced a close.
 func (b *responseBody) connReusable() bool {
 	return b.ended && !b.resp.Close && b.conn.reader.Buffered() == 0
 }
 
-// releaseMemory returns the reserved memory to the budget. Further calls do nothing.
+// releaseMemory releases the acquired memory to the budget. Further calls do nothing.
 func (b *responseBody) releaseMemory() {
 	b.pool.options.ResponseMemory.Release(b.reserved)
 	b.reserved = 0
--- a/internal/pool/roundtrip.go
+++ b/internal/pool/roundtrip.go
@@ -10,9 +10,9 @@
 	"sprucelane.example/sprucelane/internal/core"
 )
 
-// Carry sends the request of an attempt to its server, and returns the response or the reason why there is
-// none. It implements core.Carrier. A response whose body is longer than what was buffered keeps its
-// connection until its Remainder is closed.
+// Carry sends the request of an attempt to its server, and returns the response, or the reason why there is
+// none. It implements core.Carrier. If the response is longer than what was buffered, it keeps the connection
+// until its Remainder is closed.
 func (p *Pool) Carry(attempt *core.Attempt) (core.End, core.Answer) {
 	c, end := p.acquire(attempt)
 	if c == nil {
@@ -41,10 +41,10 @@
 	return end, answer
 }
 
-// roundTrip writes a request whole and reads the response. reuse reports whether the connection may be used
-// again, if the response has no Remainder. Servers of the daemon's protocol execute a request only once they
-// have its last byte. So until that was written the end says that the request was not executed, and from then
-// on that it may have been.
+// roundTrip writes the complete request and reads the response. If the response has no Remainder, reuse reports
+// whether the connection may be reused. In the daemon's protocol a server executes a request only after it has
+// received the last byte. So if that byte was not written, end says that the request was not executed, and
+// otherwise that it may have been executed.
 func (c *conn) roundTrip(p *Pool, attempt *core.Attempt) (end core.End, answer core.Answer, reuse bool) {
 	msg := attempt.Message.(*Message)
 	reused := c.used
@@ -78,9 +78,9 @@
 	return c.readResponse(p, attempt, msg)
 }
 
-// streamRemainder writes the rest of a body as it arrives, and reports whether all of it was written. If not,
-// the server has not executed the request, even if it has responded. The buffer has room for a chunk with its
-// framing and the last chunk, so that each goes out in one write.
+// streamRemainder writes the rest of a body as it arrives, and reports whether it was written completely. If
+// not, the server has not executed the request, even if it has responded. The buffer has room for a chunk with
+// its framing and for the last chunk, so that a chunk, and the last chunk after it, take one write.
 func (c *conn) streamRemainder(p *Pool, attempt *core.Attempt, msg *Message) (end core.End, complete bool) {
 	const bufferSize = maxChunkSizeLine + StreamBufferSize + len("\r\n") + len(lastChunk)
 	if !p.options.ResponseMemory.Acquire(int64(bufferSize), time.Now().Add(StallTimeout)) {
@@ -90,7 +90,7 @@
 	msg.remainderRead.Store(true)
 	attempt.BodyConsumed = true
 	buf := make([]byte, bufferSize)
-	remaining := int64(MaxBodySize) // bytes of the body that may still be written
+	remaining := int64(MaxBodySize) // limit on the bytes of the body that are still to be written
 	if msg.ContentLength >= 0 {
 		remaining = msg.ContentLength - int64(len(msg.Body))
 	}
@@ -101,8 +101,8 @@
 		if err != nil && !ended || remaining < 0 || ended && msg.ContentLength >= 0 && remaining > 0 {
 			return core.EndBodyIncomplete, false
 		}
-		// A body of known length ends with its last byte, not with io.EOF, which may come later: the server
-		// may answer by then, and that would look like an early response.
+		// A body of known length ends with its last byte. io.EOF may be returned later; the server may have
+		// responded by then, and that would look like an early response.
 		ended = ended || msg.ContentLength >= 0 && remaining == 0
 		if c.hasUnread() {
 			if end, over := c.readEarlyResponse(); over {
@@ -132,8 +132,9 @@
 	}
 }
 
-// readEarlyResponse reads what a server has sent, or how it has ended the connection, before the request was
-// complete. over is false after an interim response, after which the body goes on.
+// readEarlyResponse reads the response that a server has sent before the request was complete, or the close or
+// reset of the connection, and returns the end of the attempt. over is false after an interim response (1xx
+// other than 101): writing the body goes on.
 func (c *conn) readEarlyResponse() (end core.End, over bool) {
 	c.readLimit = maxHeadSize
 	c.SetReadDeadline(time.Now().Add(shortReadTimeout))
--- a/internal/pool/roundtrip_test.go
+++ b/internal/pool/roundtrip_test.go
@@ -24,7 +24,7 @@
 	"sprucelane.example/sprucelane/policy"
 )
 
-// textOf returns a text of n letters without repetitions.
+// textOf returns a fixed pseudo-random text of n letters.
 func textOf(n int) string {
 	b := make([]byte, n)
 	for i, x := 0, uint32(1); i < n; i++ {
@@ -34,8 +34,8 @@
 	return string(b)
 }
 
-// respond returns a reply that writes bytes as they are, and then keeps the connection open or not, as a
-// function says.
+// respond returns a reply that writes text unchanged, and then keeps the connection open if the function
+// returns true.
 func respond(text string, then func() bool) fake.Reply {
 	return func(_ *fake.Peer, c net.Conn, _ fake.Seen) bool {
 		_, err := io.WriteString(c, text)
@@ -46,7 +46,7 @@
 func keepOpen() bool   { return true }
 func closeAfter() bool { return false }
 
-// readAll reads an answer to its end, as a front does.
+// readAll returns the complete body of an answer.
 func readAll(a core.Answer) (string, error) {
 	text := string(a.Body)
 	if a.Remainder == nil {
@@ -58,8 +58,8 @@
 
 const okHead = "HTTP/1.1 200 OK\r\n"
 
-// encodings returns a response in every form of HTTP/1.1; those that end with their connection are marked
-// "closed".
+// encodings returns a response with this body in every form of HTTP/1.1. The second text is "closed" if the
+// server closes the connection after the response.
 func encodings(body string) map[string][2]string {
 	half := len(body) / 2
 	chunks := okHead + "transfer-encoding: Chunked\r\nTrailer: X-T\r\n\r\n" +
@@ -87,7 +87,7 @@
 	return itoa(n/base, base) + digits[n%base:n%base+1]
 }
 
-// Every form of a response is read alike, wherever its bytes are split.
+// Responses of every form are read correctly, at whatever byte they are split into two writes.
 func TestResponseEncodingsSplitAtEveryByte(t *testing.T) {
 	for name, form := range encodings("crew sent") {
 		text := form[0]
@@ -96,7 +96,7 @@
 			script = append(script, func(_ *fake.Peer, c net.Conn, _ fake.Seen) bool {
 				io.WriteString(c, text[:cut])
 				if cut%8 == 1 {
-					time.Sleep(time.Millisecond) // so that the rest arrives by itself
+					time.Sleep(time.Millisecond) // so that the rest arrives separately
 				}
 				io.WriteString(c, text[cut:])
 				return form[1] == ""
@@ -116,8 +116,8 @@
 	}
 }
 
-// The same holds for long ones, which pass through a small buffer. The connection is reused if it may be, and
-// the memory is released.
+// Long responses of every form are read correctly through a small buffer. The connection is reused where the
+// response allows it, and the memory is released.
 func TestLongResponses(t *testing.T) {
 	for _, size := range []int{StreamBufferSize, MaxBufferedBody, MaxBufferedBody + 1, 300 << 10, 3 << 20} {
 		body := textOf(size)
@@ -148,8 +148,8 @@
 	}
 }
 
-// The first bytes of a long response are returned before its end has arrived; those of one that may be short
-// are after a moment.
+// The beginning of a long response is returned before its end has arrived. If the response may still be short,
+// that is after holdBackTimeout.
 func TestResponseStreamsBeforeItsEnd(t *testing.T) {
 	for name, c := range map[string]struct{ text, rest string }{
 		"length": {okHead + "Content-Length: 100000\r\n\r\n" + textOf(50000), textOf(100000)[50000:]},
@@ -177,9 +177,9 @@
 	}
 }
 
-// A response that breaks off while nothing of it has been passed on is a failed attempt; afterwards the
-// reader gets an error. The connection is not reused either way. One that claims more than the maximum is
-// rejected, and an endless one is cut off.
+// If a response breaks off before any of it was passed on, the attempt has failed; if it breaks off later, the
+// reader gets an error. The connection is not reused in either case. A response that announces more than the
+// maximum size is rejected, and an endless one is cut off.
 func TestTruncatedResponses(t *testing.T) {
 	endless := func(_ *fake.Peer, c net.Conn, _ fake.Seen) bool {
 		io.WriteString(c, okHead+"Transfer-Encoding: chunked\r\n\r\n")
@@ -190,7 +190,7 @@
 	}
 	for name, c := range map[string]struct {
 		reply  fake.Reply
-		served bool // its beginning was
+		served bool // the beginning of the response was returned
 	}{
 		"at once":         {respond(okHead+"Content-Length: 300000\r\n\r\nabc", closeAfter), false},
 		"at once, chunks": {respond(okHead+"Transfer-Encoding: chunked\r\n\r\n5\r\nabc", closeAfter), false},
@@ -224,8 +224,8 @@
 	}
 }
 
-// A reset is not the end of a body: a response without a length that is reset is truncated, whichever read
-// meets the reset. The kernel reports a reset once, and an end of file afterwards.
+// A response without a length that is reset is truncated, whichever read gets the reset: the kernel reports a
+// reset only once and end of file afterwards, which must not be taken for the end of the body.
 func TestResetIsNotEOF(t *testing.T) {
 	for name, text := range map[string]string{
 		"head alone":  okHead + "\r\n",
@@ -252,7 +252,7 @@
 	}
 }
 
-// The same holds for a reset after the beginning of the response was passed on.
+// A response without a length that is reset after its beginning was passed on is truncated too.
 func TestResetWhileStreaming(t *testing.T) {
 	begun := make(chan bool)
 	m := fake.New(t, func(_ *fake.Peer, c net.Conn, _ fake.Seen) bool {
@@ -271,8 +271,7 @@
 	a.Discard()
 }
 
-// Bytes after a response belong to no request: the connection is not reused, whether the response was short
-// or long.
+// A connection on which bytes follow the response is not reused, whether the response was short or long.
 func TestBytesAfterResponse(t *testing.T) {
 	for _, size := range []int{9, 300 << 10} {
 		for name, form := range encodings(textOf(size)) {
@@ -293,7 +292,7 @@
 	}
 }
 
-// When the memory budget is used up a further response waits and does not fail.
+// When the memory budget is used up, a further response waits instead of failing.
 func TestResponsesWaitForMemory(t *testing.T) {
 	m := fake.New(t, fake.OK(textOf(300<<10)))
 	p, ask := newTestPool(t, 9, carry, m)
@@ -304,7 +303,7 @@
 	go func() { second <- ask() }()
 	select {
 	case <-second:
-		t.Fatal("it didn't wait")
+		t.Fatal("the second response did not wait for memory")
 	case <-time.After(50 * time.Millisecond):
 	}
 	_, err := readAll(first)
@@ -315,7 +314,7 @@
 	a.Discard()
 }
 
-// When a client leaves within a long response the connection is closed, not reused.
+// When a client leaves during a long response, the connection is closed and not reused.
 func TestAbandonedResponse(t *testing.T) {
 	m := fake.New(t, fake.OK(textOf(3<<20)))
 	p, ask := newTestPool(t, 9, carry, m)
@@ -343,7 +342,7 @@
 	return copy(b, p.chunks[p.next-1]), nil
 }
 
-// sendStreamed sends a request whose body is in memory up to some point and follows from a reader.
+// sendStreamed sends a request whose body begins with kept and continues with what rest returns.
 func sendStreamed(p *Pool, members []*fake.Peer, class int, kept string, rest io.Reader, length int64) core.Answer {
 	d := fake.Deployment()
 	c, err := core.New(d.Settings, 1, core.NewClock(), p, nil)
@@ -361,7 +360,7 @@
 		Request: policy.Request{Class: class, Units: 1, SetSize: 1, BodyPending: true, Deadline: c.Now() + 20*time.Second}})
 }
 
-// A body that arrives in pieces reaches the server complete, by its length or in chunks.
+// A request body that arrives in pieces is sent to the server completely, with a length or in chunks.
 func TestStreamedRequestBody(t *testing.T) {
 	kept, rest := textOf(MaxBufferedBody), []string{"a", "bc", textOf(StreamBufferSize), textOf(100), "x"}
 	whole := kept + strings.Join(rest, "")
@@ -382,7 +381,7 @@
 	}
 }
 
-// lateEOFReader is a body whose end of file comes some time after its last byte.
+// lateEOFReader is a body whose io.EOF is returned some time after its last byte.
 type lateEOFReader struct{ text string }
 
 func (s *lateEOFReader) Read(b []byte) (int, error) {
@@ -395,9 +394,9 @@
 	return n, nil
 }
 
-// A server responds once it has the last byte of a body, before the end of file may be known here: that is
-// the response, and not an early one, which would prove that the request was not executed. A body that is
-// shorter or longer than announced is not sent whole.
+// A server may respond as soon as it has the last byte of a body, before the reader of the body has returned
+// io.EOF. This must not be taken for an early response, which would mean that the request was not executed. A
+// body that is shorter or longer than announced is not sent completely.
 func TestResponseRightAfterLastByte(t *testing.T) {
 	m := fake.New(t, fake.OK("done"))
 	p, _ := newTestPool(t, 9, carry, m)
@@ -413,8 +412,8 @@
 	}
 }
 
-// A request whose body breaks off has not been executed anywhere, and is rejected as one that may be sent
-// again by the client; it is not retried.
+// A request whose body breaks off was not executed by any server. It is not retried, and the client gets the
+// answer that it may send the request again.
 func TestTruncatedRequestBody(t *testing.T) {
 	m := fake.New(t, fake.OK("done"))
 	p, _ := newTestPool(t, 9, carry, m)
@@ -426,8 +425,8 @@
 	}
 }
 
-// While nothing of the streamed part of a body has been read the request may go to another server; afterwards
-// it may not, though it was not executed.
+// As long as reading the streamed part of a body has not started, the request may be sent to another server.
+// Afterwards it can't be, although it was not executed.
 func TestRetryBeforeBodyIsRead(t *testing.T) {
 	dead := fake.New(t, fake.OK("done"))
 	alive := fake.New(t, fake.OK("done"))
@@ -446,8 +445,8 @@
 	assert.Len(t, alive.Seen(), 8)
 }
 
-// startEarlyResponder is a server that writes something once it has read so many bytes, and then reads on or
-// closes.
+// startEarlyResponder starts a server that writes text once it has read after bytes, and then reads on or closes
+// the connection. It returns the server's address, and a function that returns what the server has read.
 func startEarlyResponder(t *testing.T, after int, text string, readsOn bool) (string, func() string) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -463,7 +462,7 @@
 			go func() {
 				defer c.Close()
 				b := make([]byte, 1000)
-				for said := false; ; {
+				for responded := false; ; {
 					n, err := c.Read(b)
 					mu.Lock()
 					got = append(got, b[:n]...)
@@ -472,8 +471,8 @@
 					if err != nil {
 						return
 					}
-					if enough && !said {
-						said = true
+					if enough && !responded {
+						responded = true
 						io.WriteString(c, text)
 						if !readsOn {
 							return
@@ -489,34 +488,34 @@
 	return l.Addr().String(), func() string { mu.Lock(); defer mu.Unlock(); return string(got) }
 }
 
-// A final response before the body is complete shows that the request was not executed, whatever its status;
-// after an interim one the body goes on.
+// A final response before the body is complete means that the request was not executed, whatever the status.
+// After an interim response the rest of the body is sent.
 func TestEarlyResponseWhileStreaming(t *testing.T) {
 	for name, c := range map[string]struct {
-		text string
-		goes bool
-		kind core.AnswerKind
+		text    string
+		readsOn bool
+		kind    core.AnswerKind
 	}{
-		"turned away":        {"HTTP/1.1 503 x\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n", false, core.Refused},
-		"too large":          {"HTTP/1.1 413 x\r\nContent-Length: 0\r\n\r\n", false, core.Refused},
-		"leaves":             {"", false, core.Refused},
-		"100 and 102":        {"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 102 x\r\n\r\n", true, core.Served},
-		"an answer, goes on": {"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nno", true, core.Refused},
+		"rejected":             {"HTTP/1.1 503 x\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n", false, core.Refused},
+		"too large":            {"HTTP/1.1 413 x\r\nContent-Length: 0\r\n\r\n", false, core.Refused},
+		"closes":               {"", false, core.Refused},
+		"100 and 102":          {"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 102 x\r\n\r\n", true, core.Served},
+		"a response, reads on": {"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nno", true, core.Refused},
 	} {
-		addr, _ := startEarlyResponder(t, 300, c.text, c.goes)
+		addr, _ := startEarlyResponder(t, 300, c.text, c.readsOn)
 		d := fake.Deployment()
 		p := New(Options{MaxConnections: 9, IdleTimeout: d.IdleTimeout, ConnectTimeout: d.ConnectTimeout})
 		t.Cleanup(p.Close)
 		p.Set(1, addr, policy.Ready)
-		said := make(chan bool)
-		go func() { time.Sleep(50 * time.Millisecond); close(said) }()
-		rest := &chunkSource{chunks: []string{"a", "b", "c", "d"}, err: io.EOF, wait: said}
+		responded := make(chan bool)
+		go func() { time.Sleep(50 * time.Millisecond); close(responded) }()
+		rest := &chunkSource{chunks: []string{"a", "b", "c", "d"}, err: io.EOF, wait: responded}
 		a := sendStreamed(p, make([]*fake.Peer, 1), 1, textOf(1000), rest, -1)
 		assert.Equal(t, c.kind, a.Kind, name)
 	}
 }
 
-// limitedConn is a connection whose peer sends some input and accepts only so many bytes.
+// limitedConn is a connection whose peer has sent input and accepts only a limited number of bytes.
 type limitedConn struct {
 	net.Conn
 	input    io.Reader
@@ -534,8 +533,8 @@
 	return n, err
 }
 
-// A connection that breaks at any byte of a streamed body, the last chunk included, never looks like a
-// complete request, whatever the server has sent before.
+// A request whose connection breaks at any byte of a streamed body, including the last chunk, is not reported
+// as complete, also if the server has sent interim responses before.
 func TestResetAtEveryStreamedByte(t *testing.T) {
 	const encoded = "5\r\nabcde\r\n2\r\nfg\r\n0\r\n\r\n"
 	p := New(Options{MaxConnections: 9})
@@ -544,7 +543,7 @@
 		for writable := range len(encoded) + 1 {
 			c := &conn{Conn: &limitedConn{input: strings.NewReader(input), writable: writable}, readLimit: maxHeadSize}
 			c.reader = bufio.NewReader(c)
-			c.reader.Peek(1) // the input is in the buffer already
+			c.reader.Peek(1) // reads the input into the buffer
 			rest := &chunkSource{chunks: []string{"abcde", "fg"}, err: io.EOF}
 			end, ok := c.streamRemainder(p, &core.Attempt{}, &Message{Remainder: rest, ContentLength: -1})
 			if assert.Equal(t, writable == len(encoded), ok, "%q, %d", input, writable) && !ok {
@@ -554,7 +553,7 @@
 	}
 }
 
-// FuzzResponse reads arbitrary responses: reading ends, keeps to its bounds, and releases all memory.
+// FuzzResponse reads arbitrary responses. Reading must end, respect the limits, and release all memory.
 func FuzzResponse(f *testing.F) {
 	for _, form := range encodings("crew sent") {
 		f.Add([]byte(form[0]))
@@ -603,7 +602,7 @@
 	})
 }
 
-// Load reports name their fields in any order; missing and malformed ones have no value, and unknown ones are
+// Load reports have their fields in any order. Missing and malformed fields have no value, and unknown ones are
 // ignored.
 func TestLoadReports(t *testing.T) {
 	fields := map[string]int{"inflight": 0, "outstanding": 0, "latency_ms": 1}
@@ -633,8 +632,8 @@
 	assert.Nil(t, parseLoadReport("latency_ms=38.5", nil))
 }
 
-// FuzzLoadReport parses arbitrary load reports: no value is negative or infinite, and none has an index out
-// of range.
+// FuzzLoadReport parses arbitrary load reports. No value may be negative or infinite, and no index out of
+// range.
 func FuzzLoadReport(f *testing.F) {
 	f.Add("latency_ms=38.5,inflight=7")
 	f.Add("=,latency_ms=0x1p9,,inflight=1_0")
@@ -648,7 +647,7 @@
 	})
 }
 
-// Any response may carry a load report, but only a successful one the cost of its request.
+// The load report is read from any response, but the cost of the request only from a successful one.
 func TestLoadReportAndTrueCost(t *testing.T) {
 	for code, units := range map[int]float64{200: 2.5, 500: 0} {
 		m := fake.New(t, fake.Says(code, "X-Load: latency_ms=38.5\r\nX-True-Cost: 2.5\r\n", "x"))
--- a/internal/pool/simulation_test.go
+++ b/internal/pool/simulation_test.go
@@ -8,17 +8,17 @@
 	"sprucelane.example/sprucelane/internal/pool"
 )
 
-// maxSimulations bounds the simulations within which a bug must be detected. TestRandomServers of
-// internal/gateway/proxy runs those without an injected bug.
+// maxSimulations is the number of simulations within which a bug must be detected. TestRandomServers in
+// internal/gateway/proxy runs the simulations without an injected bug.
 const maxSimulations = 60
 
-// TestRandomServersFindBugs injects bugs into the pool one by one; some simulation of a gateway with that
-// pool must detect each.
+// TestRandomServersFindBugs injects bugs into the pool one at a time. At least one simulation of a gateway with
+// that pool must detect each.
 func TestRandomServersFindBugs(t *testing.T) {
 	for name, inject := range map[string]func(*pool.Bugs){
 		"a connection with unread input is reused":                            pool.ReuseUnread,
-		"a connection is reused on which a request's body is due":             pool.ReuseIncompleteRequest,
-		"a request whose body was written in part counts as not sent":         pool.PartialIsNotSent,
+		"a connection is reused after an incomplete request body":             pool.ReuseIncompleteRequest,
+		"a request with an incomplete body is reported as not sent":           pool.PartialIsNotSent,
 		"a head that begins within another is accepted":                       pool.AcceptTornHead,
 		"a server that drains while a connection is dialled gets the request": pool.SkipRecheck,
 	} {
--- a/internal/pool/staleness.go
+++ b/internal/pool/staleness.go
@@ -8,29 +8,28 @@
 	"time"
 )
 
-// stalenessEstimator learns for how long connections may be idle before they fail. Servers should close an
-// idle connection only after a known time, but some close or forget it earlier (so do NATs and load
-// balancers), and the client sees it only after the next request, which then may have been executed for all
-// the client can tell.
+// stalenessEstimator estimates after which idle time connections fail. Servers should close an idle connection
+// only after the configured time, but some servers, NATs and load balancers close or drop it earlier. The client
+// detects this only after the next request, and can't tell whether that request was executed.
 //
 // It is a histogram over idle times, with buckets that double in width. Each bucket counts the requests on
-// reused connections and those that were reset at once; both counts decay exponentially, so that a connection
-// is tried again some time after the last failure.
+// reused connections, and those of them that were reset at once. Both counts decay exponentially, so that
+// connections with that idle time are used again some time after the last failure.
 type stalenessEstimator struct {
-	mu        sync.Mutex // guards what follows
+	mu        sync.Mutex // guards the fields below
 	buckets   [14]struct{ used, broken float64 }
-	decayedAt time.Time // of the counts
+	decayedAt time.Time // time of the last decay
 }
 
 const (
-	defaultStaleWindow = 25 * time.Millisecond // a time within which a server hardly reads a request and then fails
+	defaultStaleWindow = 25 * time.Millisecond // a server is unlikely to read a request and then fail within it
 	shortestIdle       = 16 * time.Millisecond // upper bound of the first bucket; the last one begins at 65.5 s
-	decayTimeConstant  = 7 * time.Second       // after which a count is 1/e, about a third
+	decayTimeConstant  = 7 * time.Second       // time after which a count has decayed to 1/e, about a third
 
-	// A bucket is avoided if the share of broken connections exceeds minBrokenShare (fewer are lost anyhow),
-	// and their decayed number exceeds minBrokenSafe or minBrokenUnsafe. Requests with a method that may be
-	// retried (GET) use a bucket until the second failure, and thereby find out whether it still fails;
-	// others avoid it from the first one on.
+	// Connections of a bucket are not used if the share of broken ones exceeds minBrokenShare (a smaller share
+	// is lost in any case), and their decayed count exceeds minBrokenSafe or minBrokenUnsafe. GET requests,
+	// which may be retried, use a bucket until its second failure, and thereby show whether it still fails;
+	// requests with other methods avoid it from the first failure on.
 	minBrokenShare  = 0.1
 	minBrokenSafe   = 1.2
 	minBrokenUnsafe = 0.4
@@ -41,7 +40,7 @@
 	return min(bits.Len64(uint64(max(idle, 0)/shortestIdle)), len(e.buckets)-1)
 }
 
-// decay lets the counts decay until now. The mutex is held.
+// decay applies the decay of the counts since the last call. The mutex is held.
 func (e *stalenessEstimator) decay() {
 	now := time.Now()
 	factor := math.Exp(-float64(now.Sub(e.decayedAt)) / float64(decayTimeConstant))
@@ -52,8 +51,8 @@
 	}
 }
 
-// observe counts a request on a connection that had been idle for some time, and whether it was reset at
-// once.
+// observe counts a request on a connection that had been idle for the given time. broken says that it was reset
+// at once.
 func (e *stalenessEstimator) observe(idle time.Duration, broken bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -64,8 +63,8 @@
 	}
 }
 
-// likelyStale reports whether connections that are idle for so long have been failing too often for a request
-// with this method.
+// likelyStale reports whether connections with this idle time have been failing too often to be used for a
+// request with this method.
 func (e *stalenessEstimator) likelyStale(idle time.Duration, method string) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/pool/stats.go
+++ b/internal/pool/stats.go
@@ -1,18 +1,18 @@
 package pool
 
-// Stats counts how attempts came by their connections: each one reused an idle connection, or a new one was
-// opened because the server had no idle one, or none that could be trusted.
+// Stats has counts of how attempts got their connections: an attempt reuses an idle connection, or a new one is
+// opened because the server has no idle connection, or none that is usable.
 type Stats struct {
 	Reused           uint64
 	Opened           uint64
-	OpenedAfterStale uint64 // of those opened: there were idle ones, all expired, closed or likely stale
-	OpenedByEviction uint64 // of those opened: another idle one was closed to stay within MaxConnections
-	ConnectFailed    uint64 // dials and handshakes
-	LimitReached     uint64 // attempts without a connection, as all that MaxConnections allows were in use
-	Idle, Open       int    // now
+	OpenedAfterStale uint64 // of Opened: all idle connections of the server were expired, closed or likely stale
+	OpenedByEviction uint64 // of Opened: an idle connection was closed to stay within MaxConnections
+	ConnectFailed    uint64 // failed dials and TLS handshakes
+	LimitReached     uint64 // attempts that failed because MaxConnections connections were in use
+	Idle, Open       int    // current numbers of connections
 }
 
-// Stats returns the counts so far.
+// Stats returns the current statistics.
 func (p *Pool) Stats() Stats {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -24,7 +24,7 @@
 	return stats
 }
 
-// count updates the statistics.
+// count updates the statistics by a function, which is called with the mutex held.
 func (p *Pool) count(update func(*Stats)) {
 	p.mu.Lock()
 	update(&p.stats)
--- a/internal/pool/tornhead_test.go
+++ b/internal/pool/tornhead_test.go
@@ -14,8 +14,8 @@
 	"sprucelane.example/sprucelane/internal/fake/memorynet"
 )
 
-// A truncated head arrives in place of the response, and the response itself continues in one of its fields.
-// Read as one head it would have the status of the first and the request id of the second.
+// A truncated head is followed, within its status line or a field, by the complete response. Read as one head,
+// it would have the status of the first and the request id of the second.
 func TestTornHead(t *testing.T) {
 	const own = "HTTP/1.1 500 Internal Server Error\r\nX-Request-Id: own\r\nContent-Length: 0\r\n\r\n"
 	for text, fine := range map[string]bool{
--- a/internal/pool/write.go
+++ b/internal/pool/write.go
@@ -8,21 +8,21 @@
 	"time"
 )
 
-// writeProgress says how much of a request was handed to the kernel, and so whether the server may have
-// executed it.
+// writeProgress is how much of a request was written to the kernel, which determines whether the server may
+// have executed it.
 type writeProgress uint8
 
 const (
-	headIncomplete writeProgress = iota // the server can't have executed it
-	bodyIncomplete                      // the head was written: the server may have answered without reading the rest
+	headIncomplete writeProgress = iota // the server can't have executed the request
+	bodyIncomplete                      // the head was written: the server may have responded without reading the rest
 	requestComplete
 )
 
 const (
-	// bodyWriteSize is the number of bytes of a long body that are written between two looks at the response.
+	// bodyWriteSize is the maximum number of bytes of a long body in one write, which has bodyStallTimeout.
 	bodyWriteSize = 64 << 10
-	// bodyStallTimeout is the time for which a server may take nothing of a body before its response is
-	// looked for.
+	// bodyStallTimeout is the timeout of such a write. After a write without progress, writing stops if input
+	// from the server has arrived, such as its response.
 	bodyStallTimeout = 50 * time.Millisecond
 )
 
@@ -44,7 +44,8 @@
 	return progressOf(head+r.writeBody(c), head, head+len(r.Body))
 }
 
-// progressOf returns the progress after so many bytes of a request with this size of the head and in total.
+// progressOf returns the progress after written bytes of a request. head is the size of its head, and total that
+// of the request, in bytes.
 func progressOf(written, head, total int) writeProgress {
 	switch {
 	case written < head:
@@ -55,8 +56,8 @@
 	return requestComplete
 }
 
-// writeBody writes a long body until the deadline, or until the server takes no more of it and has answered.
-// It returns the number of bytes written.
+// writeBody writes a long body. It stops at the deadline, at an error, or when the server has stopped reading
+// and has sent a response. It returns the number of bytes written.
 func (r *Request) writeBody(c *conn) (written int) {
 	if _, encrypted := c.Conn.(*tls.Conn); encrypted { // a write that times out corrupts a TLS connection
 		written, _ = c.Write(r.Body)
