--- a/internal/buffers/budget.go
+++ b/internal/buffers/budget.go
@@ -6,30 +6,30 @@
 	"time"
 )
 
-// Budget is a number of bytes that its users acquire and release, first come, first served. It is safe for
+// Budget is a limited number of bytes that callers acquire and release, first come, first served. It is safe for
 // concurrent use. A nil Budget has no limit.
 type Budget struct {
-	mu      sync.Mutex // guards what follows
+	mu      sync.Mutex // guards the fields below
 	limit   int64
-	inUse   int64 // at most limit, unless that was lowered or a single acquisition exceeds it
+	inUse   int64 // exceeds limit only after that was lowered, or by a single acquisition
 	peak    int64
-	waiters []*waiter // in the order of arrival; the first one doesn't fit
-	waits   uint64    // acquisitions that had to wait, so far
+	waiters []*waiter // in the order of arrival; the first one doesn't fit now
+	waits   uint64    // number of acquisitions that have had to wait
 }
 
-// waiter is an acquisition that waits.
+// waiter is a waiting acquisition.
 type waiter struct {
-	n       int64
-	held    int64         // bytes of the budget that its caller holds meanwhile
+	n       int64         // bytes to acquire
+	held    int64         // bytes of the budget that the caller holds while it waits
 	decided chan struct{} // closed once the bytes are acquired or refused
 	refused bool          // written before decided is closed
 }
 
-// New returns a budget of so many bytes.
+// New returns a budget of limit bytes.
 func New(limit int64) *Budget { return &Budget{limit: limit} }
 
 // SetLimit changes the limit. If more is in use than a lower limit allows, further acquisitions wait until
-// that is released.
+// enough is released.
 func (b *Budget) SetLimit(limit int64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -37,17 +37,17 @@
 	b.grantWaiting()
 }
 
-// Acquire acquires n bytes, and waits for them until a deadline. It reports whether it has them. When nothing
-// is in use any number can be acquired, however low the limit is: otherwise a request larger than the limit
-// would never be served.
+// Acquire acquires n bytes, for which it waits until the deadline at most. It reports whether they were acquired.
+// When nothing is in use, any number of bytes can be acquired, whatever the limit: otherwise a request larger than
+// the limit would never be served.
 //
-// A caller that holds bytes of the budget and keeps them while it waits uses AcquireMore.
+// A caller that already holds bytes of the budget while it waits must use AcquireMore.
 func (b *Budget) Acquire(n int64, deadline time.Time) bool { return b.AcquireMore(0, n, deadline) }
 
-// AcquireMore is Acquire for a caller that holds some bytes of the budget already, all of which it releases if it is
-// refused. Callers that hold bytes and wait for each other's would wait until their deadlines: once all that is in
-// use is held by callers that wait, one of them gets its bytes out of turn if they fit, or else the last one to come
-// is refused at once.
+// AcquireMore is Acquire for a caller that already holds some bytes of the budget, and releases all of them if it is
+// refused. Callers that hold bytes and wait for each other would wait until their deadlines. So when all bytes in use
+// are held by waiting callers, the first of them whose bytes fit gets them out of turn; if none fit, the last one to
+// arrive is refused at once.
 func (b *Budget) AcquireMore(held, n int64, deadline time.Time) bool {
 	if b == nil {
 		return true
@@ -74,10 +74,10 @@
 	defer b.mu.Unlock()
 	if i := slices.Index(b.waiters, w); i >= 0 {
 		b.waiters = slices.Delete(b.waiters, i, i+1)
-		b.grantWaiting() // those behind it may fit
+		b.grantWaiting() // the waiters after it may fit
 		return false
 	}
-	return !w.refused // it was decided at the same time
+	return !w.refused // decided at the same time as the timeout
 }
 
 // fits reports whether n bytes can be acquired now. The mutex is held.
@@ -89,7 +89,7 @@
 	b.peak = max(b.peak, b.inUse)
 }
 
-// grantWaiting grants waiting acquisitions, in their order, as long as they fit. The mutex is held.
+// grantWaiting grants waiting acquisitions, in the order of arrival, as long as they fit. The mutex is held.
 func (b *Budget) grantWaiting() {
 	for len(b.waiters) > 0 && b.fits(b.waiters[0].n) {
 		b.grant(0)
@@ -97,7 +97,7 @@
 	b.resolveDeadlock()
 }
 
-// grant grants a waiting acquisition. The mutex is held.
+// grant grants the waiting acquisition with index i. The mutex is held.
 func (b *Budget) grant(i int) {
 	w := b.waiters[i]
 	b.reserve(w.n)
@@ -105,9 +105,9 @@
 	close(w.decided)
 }
 
-// resolveDeadlock decides one waiting acquisition if nobody else can release anything: all bytes in use are held by
-// callers that wait. Whichever is decided, its caller releases bytes in the end, and the others go on then. The
-// mutex is held.
+// resolveDeadlock grants or refuses one waiting acquisition if all bytes in use are held by waiting callers, so that
+// no other caller can release any. The caller of that acquisition eventually releases its bytes, and the others can
+// proceed then. The mutex is held.
 func (b *Budget) resolveDeadlock() {
 	var held int64
 	for _, w := range b.waiters {
@@ -133,7 +133,7 @@
 	close(w.decided)
 }
 
-// Release returns n bytes.
+// Release returns n bytes to the budget.
 func (b *Budget) Release(n int64) {
 	if b == nil {
 		return
@@ -144,13 +144,13 @@
 	b.grantWaiting()
 }
 
-// Stats are the bytes in use now and at most so far, and the number of acquisitions that had to wait.
+// Stats has the bytes in use now, the peak so far, and the number of acquisitions that had to wait.
 type Stats struct {
 	InUse, Peak int64
 	Waits       uint64
 }
 
-// Stats returns the statistics so far.
+// Stats returns the current statistics.
 func (b *Budget) Stats() Stats {
 	if b == nil {
 		return Stats{}
--- a/internal/buffers/budget_test.go
+++ b/internal/buffers/budget_test.go
@@ -12,14 +12,14 @@
 
 func farDeadline() time.Time { return time.Now().Add(time.Minute) }
 
-// waitingCount counts the waiting acquisitions.
+// waitingCount returns the number of waiting acquisitions.
 func (b *Budget) waitingCount() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return len(b.waiters)
 }
 
-// Acquisitions that don't fit wait, in the order of arrival; one whose deadline has passed is removed.
+// Acquisitions that don't fit wait, in the order of arrival. One whose deadline has passed is refused.
 func TestFirstComeFirstServed(t *testing.T) {
 	b := New(100)
 	require.True(t, b.Acquire(80, farDeadline()))
@@ -46,7 +46,7 @@
 	stats.Peak = min(stats.Peak, 80)
 	assert.Equal(t, Stats{InUse: 60, Peak: 80, Waits: 4}, stats)
 	b.Release(60)
-	assert.True(t, b.Acquire(1000, farDeadline()), "more than the limit, while nothing is in use")
+	assert.True(t, b.Acquire(1000, farDeadline()), "more than the limit fits while nothing is in use")
 	b.Release(1000)
 }
 
@@ -74,7 +74,8 @@
 	assert.False(t, b.Acquire(1, time.Now()))
 }
 
-// Whatever is acquired and released at once, the limit holds and nothing is left over.
+// With concurrent acquisitions and releases, some of which time out at once, the limit is kept, and in the end nothing
+// is in use.
 func TestConcurrentUse(t *testing.T) {
 	const most, largest = 1000, 100
 	b := New(most)
@@ -101,8 +102,8 @@
 	assert.Zero(t, b.waitingCount())
 }
 
-// TestCallersThatWaitForEachOther has callers that each hold a part of the budget want more than is left: one is
-// refused at once, long before the deadline, and the others get theirs.
+// TestCallersThatWaitForEachOther: callers hold the whole budget together, and each acquires more. Without deadlock
+// resolution all of them would wait until the deadline; one must be refused at once, and the others get their bytes.
 func TestCallersThatWaitForEachOther(t *testing.T) {
 	b := New(100)
 	const callers, held = 4, 25
@@ -133,7 +134,8 @@
 	assert.Zero(t, b.Stats().InUse)
 }
 
-// TestHolderPassesOneThatHoldsNothing: the first in line needs what a caller behind it holds, which would fit.
+// TestHolderPassesOneThatHoldsNothing: the first waiter needs bytes that a caller behind it holds, and that caller's
+// acquisition fits. It must be granted out of turn, or both would wait until the deadline.
 func TestHolderPassesOneThatHoldsNothing(t *testing.T) {
 	b := New(100)
 	require.True(t, b.Acquire(30, farDeadline()))
@@ -145,7 +147,8 @@
 	assert.True(t, <-first)
 }
 
-// TestGrowingCallers: callers that grow step by step while they hold what they have never wait for their deadlines.
+// TestGrowingCallers: callers that acquire more in steps, while they hold the previous bytes, never have to wait until
+// their deadlines.
 func TestGrowingCallers(t *testing.T) {
 	const limit, steps = 64, 8
 	b := New(limit)
--- a/internal/service/state.go
+++ b/internal/service/state.go
@@ -7,35 +7,36 @@
 
 const (
 	// DefaultAcceptPeriod is the time for which new connections are accepted after Shutdown. Load balancers
-	// go on sending for up to 0.4 s.
+	// continue to send connections for up to 0.4 s.
 	DefaultAcceptPeriod = 600 * time.Millisecond
-	// IdleGrace is the time for which idle connections stay open once clients are to leave. A client that
-	// sends another request within it learns from the response that it must use another connection; otherwise
-	// its request may race with the close.
+	// IdleGrace is the time for which idle connections stay open when clients have to leave. A client that
+	// sends another request within that time learns from the response that it must use another connection; a
+	// later request may race with the close.
 	IdleGrace = 500 * time.Millisecond
-	// newConnGrace is the time for which a connection that was accepted at the end of the accept period may
-	// send nothing before the process may exit.
+	// newConnGrace is the time that the process waits after the accept period before it may exit, for a
+	// connection that was accepted at its end and has sent nothing yet.
 	newConnGrace = 100 * time.Millisecond
 )
 
 // State is the state of service of a process. It is safe for concurrent use.
 type State struct {
-	mu              sync.Mutex // guards what follows
+	mu              sync.Mutex // guards the fields below
 	started         bool
 	drainRequested  bool
 	handedOver      bool
 	shuttingDown    bool
-	drainingSince   time.Time     // when clients were first to leave, in whichever of the last three phases
-	shutdownAt      time.Time     // of the call of Shutdown
-	acceptPeriod    time.Duration // after shutdownAt
-	shutdownTimeout time.Duration // after shutdownAt; the process exits then at the latest
+	drainingSince   time.Time     // when clients first had to leave, in any of the last three phases
+	shutdownAt      time.Time     // time of the call of Shutdown
+	acceptPeriod    time.Duration // measured from shutdownAt
+	shutdownTimeout time.Duration // measured from shutdownAt; the latest time at which the process exits
 	changed         chan struct{} // closed and replaced at each change
 }
 
 // New returns the state of a process that has just started.
 func New() *State { return &State{acceptPeriod: DefaultAcceptPeriod, changed: make(chan struct{})} }
 
-// SetAcceptPeriod replaces DefaultAcceptPeriod.
+// SetAcceptPeriod sets the time for which new connections are accepted after Shutdown, instead of
+// DefaultAcceptPeriod.
 func (s *State) SetAcceptPeriod(period time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -43,7 +44,7 @@
 	s.notify()
 }
 
-// Phase returns the phase.
+// Phase returns the current phase.
 func (s *State) Phase() Phase {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -67,7 +68,7 @@
 	return s.changed
 }
 
-// notify wakes those who wait for a change. The mutex is held.
+// notify wakes the goroutines that wait for a change. The mutex is held.
 func (s *State) notify() {
 	close(s.changed)
 	s.changed = make(chan struct{})
@@ -81,8 +82,9 @@
 	s.notify()
 }
 
-// Drain lets clients leave. Repeated calls change nothing, nor does one during shutdown. It returns false if
-// another process of the gateway serves, on which Drain must be called instead.
+// Drain starts to drain: clients have to leave. Repeated calls have no further effect, and a call during
+// shutdown only changes what DrainRequested returns. Drain returns false if another process of the gateway
+// serves, on which Drain must be called instead.
 func (s *State) Drain(now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -95,7 +97,7 @@
 	return true
 }
 
-// noteDraining records the time from which clients are to leave, if they were not to before. The mutex is
+// noteDraining records the time from which clients have to leave, unless they already have to. The mutex is
 // held.
 func (s *State) noteDraining(now time.Time) {
 	if !s.drainRequested && !s.handedOver && !s.shuttingDown {
@@ -117,7 +119,7 @@
 }
 
 // HandOver records that another process of the gateway serves from now on. A drain that was requested applies
-// to that one.
+// to that process.
 func (s *State) HandOver(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -134,7 +136,7 @@
 	s.notify()
 }
 
-// DrainRequested reports whether a drain is in force.
+// DrainRequested reports whether a drain was requested and not ended by Undrain.
 func (s *State) DrainRequested() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -155,22 +157,23 @@
 	return true
 }
 
-// CanServe reports whether this process can serve. Neither a drain nor another process that serves in its
-// place changes that: if the latter dies, this one serves again.
+// CanServe reports whether this process can serve. It is true also during a drain, and while another process
+// serves in its place: if that process dies, this one serves again.
 func (s *State) CanServe() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.started && !s.shuttingDown
 }
 
-// Ready reports whether clients should come to this gateway, whichever of its processes serves.
+// Ready reports whether clients should be sent to this gateway, whichever of its processes serves.
 func (s *State) Ready() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.started && !s.drainRequested && !s.shuttingDown
 }
 
-// ClosesAfterResponse reports whether clients are to leave: each response is the last one of its connection.
+// ClosesAfterResponse reports whether each response is the last one of its connection, because clients have to
+// leave.
 func (s *State) ClosesAfterResponse() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -192,16 +195,16 @@
 }
 
 // ExitDeadline returns the time at which the process exits at the latest, and whether it applies to requests
-// that arrive now. It does after the accept period: such a request, on a connection that is still open, may
-// have less time than its deadline. One that arrives earlier is expected to end in time.
+// that arrive now. It applies after the accept period: a request that arrives then, on a connection that is
+// still open, may have less time left than its deadline. An earlier request is expected to end in time.
 func (s *State) ExitDeadline(now time.Time) (at time.Time, applies bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.shutdownAt.Add(s.shutdownTimeout), s.shuttingDown && now.Sub(s.shutdownAt) >= s.acceptPeriod
 }
 
-// MayExit reports whether the process may exit now, while open client connections are open. After a hand-over
-// no new ones arrive, so that there is no accept period to wait for.
+// MayExit reports whether the process may exit now. open is the number of open client connections. After a
+// hand-over no new connections arrive, so the process doesn't wait for the end of the accept period.
 func (s *State) MayExit(now time.Time, open int) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/service/state_test.go
+++ b/internal/service/state_test.go
@@ -10,9 +10,9 @@
 
 const testShutdownTimeout = 5 * time.Second
 
-// Every order of calls and signals leads to a valid state. Each case has a sequence of calls: d drain, u
-// undrain, s started, t SIGTERM, h handed over, b taken back, each 10 s after the one before; then what holds
-// half a minute later if the process has not exited.
+// Calls and signals in any order lead to a valid state. Each case has a sequence of calls, 10 s apart: d Drain, u
+// Undrain, s MarkStarted, t Shutdown (SIGTERM), h HandOver, b TakeBack. The other fields are what the methods
+// return 30 s after the last call.
 func TestEveryTransitionOrder(t *testing.T) {
 	for _, c := range []struct {
 		calls                 string
@@ -75,8 +75,8 @@
 	}
 }
 
-// Idle connections have their grace from the first call of Drain on, also if it is called twice or shutdown
-// begins meanwhile; shutdown waits for the load balancer and for open requests, but not for ever.
+// The grace period of idle connections begins with the first call of Drain, also if Drain is called again or
+// shutdown begins during it. Shutdown waits for the accept period and for open connections, up to its timeout.
 func TestDrainTiming(t *testing.T) {
 	at := func(d time.Duration) time.Time { return time.Unix(1000, 0).Add(d) }
 	s := New()
@@ -91,7 +91,7 @@
 	assert.False(t, s.ClosesIdle(at(time.Minute)))
 	end := time.Minute + IdleGrace/2
 	assert.True(t, s.Shutdown(at(end), testShutdownTimeout))
-	assert.False(t, s.Shutdown(at(end+1), testShutdownTimeout), "asked for twice")
+	assert.False(t, s.Shutdown(at(end+1), testShutdownTimeout), "second call")
 	assert.True(t, s.ClosesIdle(at(time.Minute+IdleGrace)))
 	assert.True(t, s.Accepts(at(end+DefaultAcceptPeriod-1)))
 	assert.False(t, s.MayExit(at(end+DefaultAcceptPeriod), 0))
@@ -103,14 +103,14 @@
 	s.MarkStarted()
 	s.HandOver(at(0))
 	s.Shutdown(at(IdleGrace/2), testShutdownTimeout)
-	assert.True(t, s.ClosesIdle(at(IdleGrace)), "from the hand-over on")
+	assert.True(t, s.ClosesIdle(at(IdleGrace)), "measured from the hand-over")
 	assert.False(t, s.MayExit(at(IdleGrace/2), 1))
-	assert.True(t, s.MayExit(at(IdleGrace/2), 0), "clients go to the other process")
+	assert.True(t, s.MayExit(at(IdleGrace/2), 0), "new connections go to the other process")
 }
 
-// Open requests have their response before the platform kills the process: so long after the longest
-// deadline, of which three seconds count at most. A request that was accepted last has its own deadline if
-// that is short.
+// Open requests get their response, and the process exits, before the platform kills it, which is 0.7 s after the
+// longest deadline, of which at most 3 s count. Deadlines of up to 2.9 s are kept also for requests that arrive in
+// the first 0.5 s after SIGTERM.
 func TestShutdownTimes(t *testing.T) {
 	for longest, killed := range map[time.Duration]time.Duration{time.Second: 1700 * time.Millisecond,
 		3 * time.Second: 3700 * time.Millisecond, 10 * time.Second: 3700 * time.Millisecond} {
@@ -132,8 +132,8 @@
 	}
 }
 
-// After the accept period the end of the process bounds each request; before that, a request is expected to
-// end in time.
+// The exit deadline applies to requests that arrive after the accept period. Earlier requests are expected to end
+// in time.
 func TestExitDeadline(t *testing.T) {
 	s, now := New(), time.Unix(1000, 0)
 	s.MarkStarted()
@@ -141,7 +141,7 @@
 	assert.False(t, counts)
 	s.Drain(now)
 	_, counts = s.ExitDeadline(now.Add(time.Minute))
-	assert.False(t, counts, "the process stays")
+	assert.False(t, counts, "the process keeps running")
 	s.Shutdown(now, testShutdownTimeout)
 	_, counts = s.ExitDeadline(now.Add(DefaultAcceptPeriod - 1))
 	assert.False(t, counts)
