--- a/internal/buffers/budget_test.go
+++ b/internal/buffers/budget_test.go
@@ -77,8 +77,8 @@
 // With concurrent acquisitions and releases, some of which time out at once, the limit is kept, and in the end nothing
 // is in use.
 func TestConcurrentUse(t *testing.T) {
-	const most, largest = 1000, 100
-	b := New(most)
+	const limit, largest = 1000, 100
+	b := New(limit)
 	var all sync.WaitGroup
 	for i := range 50 {
 		rng := rand.New(rand.NewPCG(uint64(i), 1))
@@ -98,7 +98,7 @@
 	all.Wait()
 	c := b.Stats()
 	assert.Zero(t, c.InUse)
-	assert.LessOrEqual(t, c.Peak, int64(most))
+	assert.LessOrEqual(t, c.Peak, int64(limit))
 	assert.Zero(t, b.waitingCount())
 }
 
--- a/internal/front/clientconn.go
+++ b/internal/front/clientconn.go
@@ -11,26 +11,26 @@
 	"time"
 )
 
-// clientConn is the connection of a client. net/http's states are not exact enough: it calls a connection
-// idle until a request has been read up to the end of its head.
+// clientConn is the connection of a client. It records when the next request begins to arrive, because net/http
+// reports a connection as idle until the complete head of a request was read.
 type clientConn struct {
 	net.Conn
 	listener  *listener
-	encrypted bool // what is read is TLS, and tells nothing of messages
+	encrypted bool // the input is TLS, so messages can't be recognized in it
 
 	// Guarded by the listener's mutex.
 	state        http.ConnState
 	stateSince   time.Time
 	requestBegun bool // bytes of the next request have been read
-	closed       bool // by this side; see closeLocked
-	peerEnded    bool // the peer has closed or reset it, or AbortResponse will: nothing is left to linger for
+	closed       bool // closed by this side; see closeLocked
+	peerEnded    bool // the peer has closed or reset the connection, or AbortResponse resets it: no lingering close
 
-	mu                 sync.Mutex // guards what follows; taken after the listener's
+	mu                 sync.Mutex // guards the fields below; locked after the listener's
 	framing            framingScanner
-	requests           int    // that have been handed to the handler
-	handling           bool   // the last of them is being handled
-	pipelined          []byte // read behind it, and not yet returned by Read
-	pipelineOverflowed bool   // more than maxPipelinedKept was read, and the excess discarded
+	requests           int    // number of requests passed to the handler
+	handling           bool   // the last of these requests is being handled
+	pipelined          []byte // input after that request, not yet returned by Read
+	pipelineOverflowed bool   // more than maxPipelinedKept bytes were read, and the excess was discarded
 }
 
 // connKey is the key of the *clientConn in the context of its requests.
@@ -44,11 +44,11 @@
 	return ctx
 }
 
-// Read returns what has arrived. A read of one byte is net/http's watch for the client's disconnect while a
-// handler runs. If the byte belongs to a further request, Read does not return it: net/http would stop
-// watching, and would not watch during the requests that it has buffered already either. Instead Read keeps
-// it, and goes on reading until the connection ends, or until net/http cancels the read because the handler
-// has returned. The next reads return what was kept.
+// Read returns input as it arrives. A read of one byte is how net/http watches for the client's disconnect while
+// a handler runs. If the byte belongs to a further request, Read does not return it: net/http would stop
+// watching, also during the requests that it has already buffered. Instead Read keeps the byte and goes on
+// reading until the connection ends, or until net/http cancels the read because the handler has returned. The
+// next reads return the input that was kept.
 func (c *clientConn) Read(b []byte) (int, error) {
 	n, err := c.takePipelined(b)
 	if n == 0 && err == nil {
@@ -73,8 +73,9 @@
 	return n, err
 }
 
-// recordRead records the result of a read. It returns an error if this side has closed the connection
-// meanwhile: a request in what was read could not be answered, and must not be handled.
+// recordRead records the result of a read, and returns the error that Read must return. That is net.ErrClosed if
+// this side has closed the connection meanwhile: a request in the input can't be answered, and must not be
+// handled.
 func (c *clientConn) recordRead(n int, err error) error {
 	c.listener.mu.Lock()
 	defer c.listener.mu.Unlock()
@@ -83,13 +84,13 @@
 	}
 	c.requestBegun = c.requestBegun || n > 0
 	if n > 0 {
-		return nil // an error with it is returned by the next read again
+		return nil // the next read returns the error again, if there is one
 	}
 	c.peerEnded = c.peerEnded || err != nil && !errors.Is(err, os.ErrDeadlineExceeded) && !errors.Is(err, net.ErrClosed)
 	return err
 }
 
-// setHandling records that a request is being handled, or no longer is.
+// setHandling records that handling a request has begun or ended.
 func (c *clientConn) setHandling(handling bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -98,7 +99,7 @@
 	}
 }
 
-// nothingUnread reports whether no input is waiting to be read. An end of file is not input.
+// nothingUnread reports whether the socket has no unread input. End of file is not input.
 func (c *clientConn) nothingUnread() bool {
 	raw, ok := c.Conn.(syscall.Conn)
 	if !ok {
@@ -108,8 +109,8 @@
 	return n <= 0 || err != nil
 }
 
-// peerClosed reports whether the client has closed or reset the connection, as far as no unread input is
-// before that.
+// peerClosed reports whether the client has closed or reset the connection. It returns false if there is unread
+// input before the close.
 func (c *clientConn) peerClosed() bool {
 	raw, ok := c.Conn.(syscall.Conn)
 	if !ok {
@@ -119,8 +120,8 @@
 	return n <= 0 && !errors.Is(err, syscall.EAGAIN) && !errors.Is(err, syscall.EINTR)
 }
 
-// ClientGone reports whether the client of a request has closed its connection. It asks the socket: net/http
-// learns of it only through its next read, after a request that has waited could have been forwarded.
+// ClientGone reports whether the client of a request has closed its connection. It checks the socket, because
+// net/http detects a close only by its next read, and a request that has waited could be forwarded before that.
 func ClientGone(r *http.Request) bool {
 	if r.Context().Err() != nil {
 		return true
@@ -154,8 +155,8 @@
 	l.startLinger(c)
 }
 
-// AbortResponse resets the connection of a request in the middle of the response, so that the client sees a
-// truncated response and not an end. It panics with http.ErrAbortHandler.
+// AbortResponse resets the connection of a request in the middle of the response, so that the client detects the
+// truncation and doesn't take it for the end of the response. It panics with http.ErrAbortHandler.
 func AbortResponse(r *http.Request) {
 	if c, _ := r.Context().Value(connKey{}).(*clientConn); c != nil {
 		if t, ok := c.Conn.(*net.TCPConn); ok {
--- a/internal/front/clientgone_test.go
+++ b/internal/front/clientgone_test.go
@@ -12,8 +12,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A handler learns that its client has left, with any input pipelined behind its request, and wherever the reads
-// of that are split: some of it is read together with the request, the rest while that is handled.
+// A handler is notified that its client has left, whatever input is pipelined after its request, and at whatever
+// byte that is split: the first part is read together with the request, the rest while the request is handled.
+// net/http alone stops watching for the disconnect at a pipelined byte.
 func TestClientGoneWithPipelinedRequests(t *testing.T) {
 	const (
 		plain = "GET / HTTP/1.1\r\nHost: x\r\n\r\n"
@@ -31,7 +32,8 @@
 	}
 }
 
-// The same holds for a request that was pipelined itself, in part or whole, with more behind it.
+// The handler of a request that was itself pipelined, partly or completely, with more input after it, is notified
+// too.
 func TestClientGoneInPipelinedRequest(t *testing.T) {
 	request := "GET / HTTP/1.1\r\nHost: x\r\n\r\n"
 	for at := 2; at <= 4; at++ {
@@ -43,18 +45,18 @@
 	}
 }
 
-// checkClientGone has a client send some bytes, then the rest while its first request is handled, and leave
-// during the nth request, whose handler must learn of it.
-func checkClientGone(t *testing.T, at int, before, rest string) {
+// checkClientGone runs a client that sends the bytes before, sends rest while its first request is handled, and
+// leaves while the request with that number is handled. The handler of that request must be notified.
+func checkClientGone(t *testing.T, number int, before, rest string) {
 	synctest.Test(t, func(t *testing.T) {
 		port := newPipeListener()
-		handled, left, goOn := 0, false, make(chan bool)
+		handled, left, proceed := 0, false, make(chan bool)
 		s, err := Listen(Options{Listener: port, MaxConnections: 9, MaxRequestDeadline: time.Minute}, http.HandlerFunc(
 			func(_ http.ResponseWriter, r *http.Request) {
 				handled++
 				io.Copy(io.Discard, r.Body)
-				if handled < at {
-					<-goOn
+				if handled < number {
+					<-proceed
 					return
 				}
 				<-r.Context().Done()
@@ -72,17 +74,17 @@
 		if rest != "" {
 			go io.WriteString(c, rest)
 		}
-		for range at - 1 {
+		for range number - 1 {
 			synctest.Wait()
-			goOn <- true
+			proceed <- true
 		}
 		synctest.Wait()
-		require.Equal(t, at, handled)
+		require.Equal(t, number, handled)
 		assert.False(t, left)
 		c.Close()
 		synctest.Wait()
 		assert.True(t, left, "%q, then %q", before, rest)
-		assert.Equal(t, at, handled)
+		assert.Equal(t, number, handled)
 		s.Close()
 	})
 }
--- a/internal/front/framing.go
+++ b/internal/front/framing.go
@@ -8,43 +8,43 @@
 	"strings"
 )
 
-// framingScanner follows the framing of the messages that a client sends (RFC 9112, sections 6 and 7), byte
-// by byte. It tells of each head whether it has both a Content-Length and a Transfer-Encoding: net/http drops
-// the length then, and a proxy in front that goes by the length would see another end of the body, in which a
-// further request can be hidden (request smuggling). The scanner changes nothing. What it doesn't understand,
-// and all that follows, counts as ambiguous.
+// framingScanner parses the framing of the messages that a client sends (RFC 9112, sections 6 and 7), byte by
+// byte. It detects heads with both a Content-Length and a Transfer-Encoding: net/http ignores the length then,
+// and a proxy in front that uses the length would assume another end of the body, so that a further request can
+// be hidden in the body (request smuggling). The scanner doesn't change the input. A request that it can't parse,
+// and all requests after it, count as ambiguous.
 type framingScanner struct {
 	state          scanState
 	linePrefix     []byte // beginning of the current line, up to maxLinePrefix
-	lineSuffix     []byte // end of the current line so far, up to lineSuffixSize
-	bodyLeft       int64  // bytes of a body, or of a chunk and its line end
+	lineSuffix     []byte // last bytes of the current line so far, up to lineSuffixSize
+	bodyLeft       int64  // remaining bytes of a body, or of a chunk and its line end
 	contentLength  int64  // of the current head; -1: none
 	chunked        bool   // the current head has a Transfer-Encoding
 	http10         bool   // the current request is HTTP/1.0, where Transfer-Encoding has no meaning
 	heads          int    // complete heads
 	firstAmbiguous int    // number of the first request with both fields; 0: none
-	firstUnknown   int    // number of the first request that was not understood; 0: none
+	firstUnknown   int    // number of the first request that could not be parsed; 0: none
 }
 
-// scanState says what the next byte belongs to.
+// scanState is the element of a message to which the next byte belongs.
 type scanState uint8
 
 const (
 	inStart   scanState = iota // a request line, or an empty line before it
-	inHead                     // the fields behind it
+	inHead                     // the header fields after the request line
 	inBody                     // a body of known length, or a chunk
-	inSize                     // the line with a chunk's size
+	inSize                     // the line with the size of a chunk
 	inTrailer                  // the lines after the last chunk
 )
 
-// How much of a line is kept: enough for the names and values of the two fields, and for the version in a
-// request line.
+// Numbers of bytes of a line that are kept: enough for the names and values of the two fields, and for the
+// version at the end of a request line.
 const (
 	maxLinePrefix  = 128
 	lineSuffixSize = len("HTTP/1.0\r")
 )
 
-// scan follows the bytes that were read.
+// scan parses further input.
 func (f *framingScanner) scan(b []byte) {
 	for len(b) > 0 && f.firstUnknown == 0 {
 		if f.state == inBody {
@@ -117,7 +117,7 @@
 	}
 }
 
-// endHead handles the empty line behind a head.
+// endHead handles the empty line after a head.
 func (f *framingScanner) endHead() {
 	f.heads++
 	if f.chunked && f.contentLength >= 0 && f.firstAmbiguous == 0 {
@@ -134,33 +134,33 @@
 	}
 }
 
-// giveUp records that the current request, and all that follow, are not understood.
+// giveUp records that the current request can't be parsed, nor any after it.
 func (f *framingScanner) giveUp() {
 	if f.firstUnknown == 0 {
 		f.firstUnknown = f.heads + 1
 	}
 }
 
-// unambiguous reports whether the head of the nth request is known to have no length beside a
+// unambiguous reports whether the head of the nth request was parsed and doesn't have both a Content-Length and a
 // Transfer-Encoding.
 func (f *framingScanner) unambiguous(n int) bool {
 	return n <= f.heads && (f.firstAmbiguous == 0 || n < f.firstAmbiguous) &&
 		(f.firstUnknown == 0 || n < f.firstUnknown)
 }
 
-// betweenMessages reports whether all that was read ends with a message.
+// betweenMessages reports whether the input so far ends at the end of a message.
 func (f *framingScanner) betweenMessages() bool {
 	return f.firstUnknown == 0 && f.state == inStart && len(f.linePrefix) == 0
 }
 
-// readBeyond reports whether something was read behind the nth request.
+// readBeyond reports whether input after the nth request was read.
 func (f *framingScanner) readBeyond(n int) bool {
 	inNext := f.state == inHead || f.state == inStart && len(f.linePrefix) > 0
 	return f.firstUnknown == 0 && (f.heads > n || f.heads == n && inNext)
 }
 
-// UnambiguousFraming reports whether a request with a chunked body is known to have had no Content-Length
-// beside it. It is false under TLS.
+// UnambiguousFraming reports whether a request with a chunked body is known to have had no Content-Length besides
+// its Transfer-Encoding. It returns false under TLS.
 func UnambiguousFraming(r *http.Request) bool {
 	c, _ := r.Context().Value(connKey{}).(*clientConn)
 	if c == nil {
--- a/internal/front/framing_test.go
+++ b/internal/front/framing_test.go
@@ -18,27 +18,27 @@
 	sized   = "POST /a HTTP/1.1\r\nHost: x\r\ncontent-length:  5 \r\n\r\nGET /"
 	chunked = "POST /a HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n" +
 		"3;ext=\"a\"\r\nabc\r\nA\r\n0123456789\r\n0\r\nT: x\r\n\r\n"
-	both   = "POST /a HTTP/1.1\r\nHost: x\r\nContent-Length: 5\r\nTRANSFER-ENCODING: chunked\r\n\r\n0\r\n\r\n"
-	turned = "POST /a HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\nContent-Length: 0\r\n\r\n0\r\n\r\n"
-	old    = "POST /a HTTP/1.0\r\nConnection: keep-alive\r\nTransfer-Encoding: chunked\r\nContent-Length: 3\r\n\r\nabc"
-	folded = "POST /a HTTP/1.1\r\nHost: x\r\nTransfer-Encoding:\r\n chunked\r\n\r\n0\r\n\r\n"
+	both     = "POST /a HTTP/1.1\r\nHost: x\r\nContent-Length: 5\r\nTRANSFER-ENCODING: chunked\r\n\r\n0\r\n\r\n"
+	reversed = "POST /a HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\nContent-Length: 0\r\n\r\n0\r\n\r\n"
+	old      = "POST /a HTTP/1.0\r\nConnection: keep-alive\r\nTransfer-Encoding: chunked\r\nContent-Length: 3\r\n\r\nabc"
+	folded   = "POST /a HTTP/1.1\r\nHost: x\r\nTransfer-Encoding:\r\n chunked\r\n\r\n0\r\n\r\n"
 )
 
-// A request with both a length and chunks is told apart from those before it, wherever the bytes are split,
-// and nothing behind it counts as unambiguous.
+// The first request with both a Content-Length and a Transfer-Encoding is detected, at whatever byte the input is
+// split. The requests before it are unambiguous, and none after it.
 func TestFramingSplitAnywhere(t *testing.T) {
 	long := strings.Replace(get, "/a", "/"+strings.Repeat("x", 3000), 1)
 	for name, c := range map[string]struct {
 		text  string
 		heads int
-		clean int // so many from the first are unambiguous
+		clean int // number of requests, from the first, that are unambiguous
 	}{
 		"plain":           {get + sized + chunked + get + long + chunked, 6, 6},
 		"both":            {get + chunked + both + get, 4, 2},
-		"the other order": {chunked + turned, 2, 1},
-		"of an old form":  {get + old + chunked, 3, 1},
+		"the other order": {chunked + reversed, 2, 1},
+		"HTTP/1.0":        {get + old + chunked, 3, 1},
 		"a long target":   {long + strings.Replace(old, "/a", "/"+strings.Repeat("x", 3000), 1) + chunked, 3, 1},
-		"folded":          {get + folded + chunked, 1, 1},
+		"folded field":    {get + folded + chunked, 1, 1},
 		"empty lines":     {"\r\n\n" + get + "\r\n" + chunked, 2, 2},
 		"bare line ends":  {strings.ReplaceAll(get+chunked, "\r\n", "\n"), 2, 2},
 		"a bad size":      {chunked + strings.Replace(chunked, "3;", "z;", 1) + get, 2, 2},
@@ -62,7 +62,7 @@
 	}
 }
 
-// A handler sees a chunked request as unambiguous only if its head had no length.
+// For a handler, a chunked request is unambiguous only if its head has no Content-Length.
 func TestUnambiguousFraming(t *testing.T) {
 	s, _ := serve(t, 9, func(w http.ResponseWriter, r *http.Request) {
 		body, _ := io.ReadAll(r.Body)
@@ -80,10 +80,10 @@
 	}
 }
 
-// Whatever arrives, in whatever pieces: a chunked request that net/http reads counts as unambiguous only if
-// its head has no length, as a second parse of the same bytes shows.
+// FuzzFraming scans arbitrary input in pieces of arbitrary size. A chunked request that net/http reads may count as
+// unambiguous only if its head has no Content-Length, which the test finds by parsing the input again.
 func FuzzFraming(f *testing.F) {
-	for _, text := range []string{get, sized, chunked, both, turned, old, folded, get + chunked + both} {
+	for _, text := range []string{get, sized, chunked, both, reversed, old, folded, get + chunked + both} {
 		f.Add([]byte(text), 7)
 	}
 	f.Fuzz(func(t *testing.T, data []byte, piece int) {
@@ -106,7 +106,7 @@
 			}
 			head, _, _ := strings.Cut(strings.ReplaceAll(strings.TrimLeft(string(rest), "\r\n"), "\r\n", "\n"), "\n\n")
 			if len(r.TransferEncoding) > 0 && fr.unambiguous(n) && strings.Contains(strings.ToLower(head), "\ncontent-length:") {
-				t.Fatalf("request %d of %q is vouched for", n, data)
+				t.Fatalf("request %d of %q has a Content-Length and counts as unambiguous", n, data)
 			}
 			if _, err := io.Copy(io.Discard, r.Body); err != nil {
 				return
--- a/internal/front/idletimeout.go
+++ b/internal/front/idletimeout.go
@@ -6,14 +6,14 @@
 )
 
 const (
-	// maxIdleTimeout is net/http's idle timeout, which is fixed, where Options.IdleTimeoutFunc has a shorter
-	// one that changes.
+	// maxIdleTimeout is the fixed idle timeout of net/http if Options.IdleTimeoutFunc is set, which returns
+	// shorter timeouts that may change.
 	maxIdleTimeout = 10 * time.Minute
-	// idleCheckInterval is the time between two looks for connections that have been idle for too long.
+	// idleCheckInterval is the interval of the check for connections that have been idle for too long.
 	idleCheckInterval = 500 * time.Millisecond
 )
 
-// runIdleTimeout closes the connections that are idle for longer than the current timeout, until Close.
+// runIdleTimeout closes connections that have been idle for longer than the current timeout, until Close.
 func (s *Server) runIdleTimeout() {
 	ticker := time.NewTicker(idleCheckInterval)
 	defer ticker.Stop()
@@ -27,7 +27,7 @@
 	}
 }
 
-// closeIdleSince closes the connections that have been idle since before cutoff, and on which nothing has
+// closeIdleSince closes the connections that have been idle since before cutoff and on which no further input has
 // arrived.
 func (l *listener) closeIdleSince(cutoff time.Time) {
 	l.mu.Lock()
--- a/internal/front/idletimeout_test.go
+++ b/internal/front/idletimeout_test.go
@@ -15,7 +15,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// pipeListener is a listener whose connections are pipes in memory, so that tests run in virtual time.
+// pipeListener is a listener whose connections are in-memory pipes, so that tests can run in virtual time.
 type pipeListener struct {
 	conns chan net.Conn
 	ended context.Context
@@ -46,8 +46,9 @@
 	return &testClient{near, bufio.NewReader(near)}
 }
 
-// A client that is idle for up to four fifths of the current timeout has its next request answered, also on a
-// connection from before the timeout changed; one that is idle for longer than the timeout is closed.
+// The next request of a client that was idle for four fifths of the current timeout is answered, also on a
+// connection that was opened before the timeout changed. A connection that is idle for longer than the timeout is
+// closed.
 func TestIdleTimeoutFunc(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		port, allowed := newPipeListener(), atomic.Int64{}
--- a/internal/front/linger.go
+++ b/internal/front/linger.go
@@ -7,34 +7,37 @@
 	"time"
 )
 
-// The lingering close: see the package comment.
+// Limits of the lingering close (see the package comment), in time and in bytes for each connection.
 const (
 	lingerTimeout  = 500 * time.Millisecond
 	maxLingerBytes = 256 << 10
-	// lingerDivisor bounds the connections that linger, beyond the bound on open ones, to 1/16 of it.
+	// lingerDivisor limits the number of lingering connections to 1/16 of the limit on open ones, to which they
+	// are added.
 	lingerDivisor = 16
 )
 
-// startLinger begins to linger. The listener's mutex is held.
+// startLinger starts the lingering close of a connection. At the limit, it ends that of the connection that has
+// been lingering for the longest. The listener's mutex is held.
 func (l *listener) startLinger(c *clientConn) {
 	l.lingering = append(l.lingering, c)
 	if len(l.lingering) > max(1, l.maxConns/lingerDivisor) {
-		l.lingering[0].Conn.Close() // its goroutine ends with that
+		l.lingering[0].Conn.Close() // this ends its goroutine
 		l.lingering = l.lingering[1:]
 	}
 	go c.linger()
 }
 
-// linger reads and discards input until the client closes, or for lingerTimeout, or maxLingerBytes.
+// linger reads and discards input until the client closes the connection, at most for lingerTimeout and up to
+// maxLingerBytes. Then it closes the connection.
 func (c *clientConn) linger() {
-	// A timer and not a deadline, as net/http may still set deadlines.
+	// A timer is used instead of a deadline, as net/http may still set deadlines.
 	timer := time.AfterFunc(lingerTimeout, func() { c.Conn.Close() })
 	defer timer.Stop()
 	var buf [512]byte
 	for total := 0; total < maxLingerBytes; {
 		n, err := c.Conn.Read(buf[:])
 		total += n
-		if errors.Is(err, os.ErrDeadlineExceeded) { // net/http's idle timeout may be what closed the connection
+		if errors.Is(err, os.ErrDeadlineExceeded) { // set by net/http, as for its idle timeout
 			err = c.Conn.SetReadDeadline(time.Time{})
 		}
 		if err != nil {
--- a/internal/front/listener.go
+++ b/internal/front/listener.go
@@ -11,40 +11,41 @@
 )
 
 const (
-	// newConnGrace is the time for which a new connection may send nothing before it can be evicted.
+	// newConnGrace is the time after which a new connection that has sent nothing may be evicted.
 	newConnGrace = 250 * time.Millisecond
-	// backlogQuietPeriod is the time without a new connection after which the backlog counts as empty.
+	// backlogQuietPeriod is the time without a new connection after which the backlog is considered empty.
 	backlogQuietPeriod = 20 * time.Millisecond
-	// backlogDrainTimeout bounds draining the backlog, if nothing but new connections holds that up.
+	// backlogDrainTimeout limits the time for draining the backlog. The time starts again after a wait
+	// at the limit on open connections.
 	backlogDrainTimeout = 300 * time.Millisecond
 )
 
-// listener accepts connections within a bound. At the bound the connection that is idle for the longest is
-// evicted, or else the one that has sent nothing for the longest: silent connections, opened by the hundred,
-// must not keep requests in the backlog.
+// listener accepts connections up to a limit. At the limit, the connection that has been idle for the longest is
+// evicted, or, if none is idle, the oldest new one that has sent nothing: a large number of connections without
+// requests must not keep other connections in the backlog.
 type listener struct {
 	net.Listener
 	encrypted bool        // the connections carry TLS
 	admit     func() bool // Options.Admit
-	onRead    func()      // set by tests, to force races: bytes were read, and nothing was recorded yet
+	onRead    func()      // set by tests, to force races: called between reading bytes and recording them
 
-	mu        sync.Mutex // guards what follows, and the state of each connection
-	slotFreed *sync.Cond // there may be room for a connection, or nothing is waited for any more
+	mu        sync.Mutex // guards the fields below, and the state of each connection
+	slotFreed *sync.Cond // signals that there may be room for a connection, or that waiting must end
 	maxConns  int
-	conns     map[*clientConn]bool // open; neither closed by this side nor lingering
-	lingering []*clientConn        // the one that was closed first comes first
-	paused    bool                 // Pause: the backlog is another process's
+	conns     map[*clientConn]bool // open connections, without those that this side has closed or that linger
+	lingering []*clientConn        // in the order in which they were closed
+	paused    bool                 // by Pause: the backlog is left to another process
 
-	// The listener closes in two steps: stopping while it drains the backlog, until backlogDeadline at the
-	// latest (zero: not set yet), then closed.
+	// The listener closes in two steps: stopping is set while it drains the backlog, until backlogDeadline at
+	// the latest (zero: not set yet); then closed is set.
 	stopping        bool
 	backlogDeadline time.Time
 	closed          bool
-	aborted         bool // Server.Close: nothing is waited for any more
+	aborted         bool // by Server.Close: everything is closed at once, without waiting
 }
 
-// setPaused pauses or resumes accepting. To pause, a deadline in the past ends a blocked Accept; closing the
-// socket would reset the connections in the backlog.
+// setPaused pauses or resumes accepting. A deadline in the past ends a blocked Accept without closing the socket,
+// which would reset the connections in the backlog.
 func (l *listener) setPaused(paused bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -60,8 +61,8 @@
 	}
 }
 
-// acceptNext accepts the next connection of the backlog. Once the listener is stopping and the deadline has
-// passed, it closes the socket.
+// acceptNext accepts the next connection from the backlog. If the listener is stopping and the deadline has
+// passed, it closes the socket and returns net.ErrClosed.
 func (l *listener) acceptNext() (net.Conn, error) {
 	for {
 		c, err := l.Listener.Accept()
@@ -98,7 +99,8 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for len(l.conns) >= l.maxConns && !l.aborted {
-		// The connections behind this one could not be accepted meanwhile, so their time starts anew.
+		// Connections behind this one in the backlog can't be accepted meanwhile, so the time for draining
+		// starts again afterwards.
 		l.backlogDeadline = time.Time{}
 		l.makeRoom()
 	}
@@ -110,7 +112,8 @@
 	return client, nil
 }
 
-// makeRoom evicts a connection, or waits for a short time if none can be. The mutex is held.
+// makeRoom evicts a connection. If none can be evicted, it waits until one may be, for newConnGrace at most. The
+// mutex is held.
 func (l *listener) makeRoom() {
 	victim := l.longestInState(http.StateIdle, 0)
 	if victim == nil {
@@ -125,8 +128,8 @@
 	wake.Stop()
 }
 
-// extendBacklogDeadline lets the backlog be drained until no connection arrives for backlogQuietPeriod. The
-// mutex is held.
+// extendBacklogDeadline sets the deadline of Accept to backlogQuietPeriod from now, within backlogDeadline. So the
+// backlog is drained until no connection arrives for that time. The mutex is held.
 func (l *listener) extendBacklogDeadline() {
 	if t, ok := l.Listener.(*net.TCPListener); ok {
 		if l.backlogDeadline.IsZero() {
@@ -140,8 +143,8 @@
 	}
 }
 
-// Close starts to drain the backlog, or closes the socket if there is nothing to drain. net/http calls it
-// when it is closed itself.
+// Close starts to drain the backlog, or closes the socket if the backlog isn't drained (paused, aborted, or not
+// TCP). It is also called by http.Server when that is closed.
 func (l *listener) Close() error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -162,8 +165,9 @@
 	return l.Listener.Close()
 }
 
-// longestInState returns the connection that has been in a state for the longest and for at least minAge, and
-// on which nothing has arrived, read or unread; nil: there is none. The mutex is held.
+// longestInState returns the connection that has been in a state for the longest time, which is at least minAge,
+// among those without any input of a next request, read or unread. It returns nil if there is none. The mutex is
+// held.
 func (l *listener) longestInState(state http.ConnState, minAge time.Duration) (oldest *clientConn) {
 	before, skipped := time.Now().Add(-minAge), map[*clientConn]bool{}
 	for {
@@ -183,7 +187,7 @@
 	}
 }
 
-// closeIdle closes the connections without a request, new ones only after newConnGrace.
+// closeIdle closes the connections without a request; new ones only after newConnGrace.
 func (l *listener) closeIdle(now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/front/pipelining.go
+++ b/internal/front/pipelining.go
@@ -5,18 +5,18 @@
 	"slices"
 )
 
-// Pipelined input is what a client sends behind a request before that is answered.
+// Limits on pipelined input, which is what a client sends after a request before that request is answered.
 const (
-	// maxPipelinedKept is the number of bytes that are kept to be answered. If there are more, the response
-	// to the request before them is the last one of the connection.
+	// maxPipelinedKept is the number of bytes that are kept, so that the requests in them are answered. If
+	// there are more, the response to the request before them is the last one of the connection.
 	maxPipelinedKept = 4 << 10
-	// maxPipelinedRead is the number of bytes after which the watch for a disconnect ends, so that a client
-	// can't keep it busy.
+	// maxPipelinedRead is the number of bytes after which watching for a disconnect ends, so that a client
+	// can't keep the watch busy.
 	maxPipelinedRead = 64 << 10
 )
 
-// takePipelined returns kept input. If input behind it was discarded the connection can't be read any
-// further, and the error says so.
+// takePipelined copies kept input to b. If none is left and input after it was discarded, the connection can't be
+// read any further, and the error is net.ErrClosed.
 func (c *clientConn) takePipelined(b []byte) (n int, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -30,8 +30,9 @@
 	return n, err
 }
 
-// holdPipelined keeps a byte that belongs to a request behind the one that is being handled, or is about to
-// be, and reports whether it does. What was read before may end within a further request.
+// holdPipelined keeps the byte in b if it belongs to a request after the one that is being handled or is about
+// to be handled, and reports whether it does. The input before the byte may already end within a further
+// request.
 func (c *clientConn) holdPipelined(b []byte) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -46,9 +47,9 @@
 	return true
 }
 
-// readPipelined reads and keeps input behind a request until maxPipelinedRead, or returns the error that ends
-// it: the end of the connection, or the deadline by which net/http cancels its read once the handler has
-// returned.
+// readPipelined reads and keeps input after a request, up to maxPipelinedRead. It returns the error that ends
+// reading before that: the end of the connection, or the deadline with which net/http cancels its read when the
+// handler has returned.
 func (c *clientConn) readPipelined() error {
 	var buf [512]byte
 	for total := 0; total < maxPipelinedRead; {
@@ -66,15 +67,15 @@
 	return nil
 }
 
-// hasPipelined reports whether input was read behind the request that is being handled, or was last. Under
-// TLS it is always false.
+// hasPipelined reports whether input was read after the request that is being handled or was handled last. Under
+// TLS it returns false.
 func (c *clientConn) hasPipelined() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.pipelined) > 0 || c.framing.readBeyond(c.requests)
 }
 
-// moreArrived reports whether input has arrived behind the request, read or unread.
+// moreArrived reports whether input has arrived after the request, read or unread.
 func (c *clientConn) moreArrived() bool {
 	if c == nil {
 		return false
--- a/internal/front/race_test.go
+++ b/internal/front/race_test.go
@@ -20,15 +20,15 @@
 	require.NoError(t, err)
 }
 
-// openCount counts the connections that are neither closed nor lingering.
+// openCount returns the number of connections that are neither closed nor lingering.
 func (l *listener) openCount() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return len(l.conns)
 }
 
-// An idle connection is closed, and the client's next request races with that: the connection is not reset,
-// so that nothing on its way to the client is lost, the request is not served, and lingering ends.
+// The client's next request races with the close of its idle connection. The request is not served and
+// lingering ends. The connection is not reset, because a reset could discard data in transit to the client.
 func TestRequestRacesIdleClose(t *testing.T) {
 	served := 0
 	s, _ := serve(t, 9, func(http.ResponseWriter, *http.Request) { served++ })
@@ -37,7 +37,7 @@
 	c.readResponse(t)
 	s.state.Drain(time.Now().Add(-time.Minute))
 	require.Eventually(t, func() bool { return s.listener.openCount() == 0 }, time.Minute, time.Millisecond)
-	for range 3 { // a reset would fail the second one
+	for range 3 { // after a reset the second write would fail
 		c.write(t, request)
 	}
 	_, err := c.in.ReadByte()
@@ -46,7 +46,8 @@
 	require.Eventually(t, func() bool { return s.OpenConnections() == 0 }, time.Minute, time.Millisecond)
 }
 
-// The same holds if the idle timeout closes the connection, or the timeout for reading a head.
+// The connection isn't reset either if a request races with a close by the idle timeout, or by the timeout for reading
+// a head.
 func TestRequestRacesTimeout(t *testing.T) {
 	for _, begins := range []string{"", "GET"} {
 		s, err := Listen(Options{Address: "127.0.0.1:0", MaxConnections: 9, MaxRequestDeadline: time.Minute},
@@ -70,8 +71,8 @@
 	}
 }
 
-// The same holds if the request has just been read when the connection is closed, and the closing side could
-// not know yet: the request is not handed to a handler, as its response could not be sent.
+// The connection is closed between reading a request and recording that. The request is not passed to a handler, as
+// its response could not be sent.
 func TestRequestReadDuringClose(t *testing.T) {
 	served := make(chan bool, 9)
 	s, _ := serve(t, 9, func(http.ResponseWriter, *http.Request) { served <- true })
@@ -80,15 +81,15 @@
 	c.readResponse(t)
 	<-served
 	require.Eventually(t, func() bool { return s.listener.idleCount() == 1 }, time.Minute, time.Millisecond)
-	read, on := make(chan bool), make(chan bool)
+	read, proceed := make(chan bool), make(chan bool)
 	s.listener.mu.Lock()
-	s.listener.onRead = func() { read <- true; <-on }
+	s.listener.onRead = func() { read <- true; <-proceed }
 	s.listener.mu.Unlock()
 	c.send(t)
 	<-read
 	s.state.Drain(time.Now().Add(-time.Minute))
 	require.Eventually(t, func() bool { return s.listener.openCount() == 0 }, time.Minute, time.Millisecond)
-	close(on)
+	close(proceed)
 	go func() { // lingering reads call the hook too
 		for range read {
 		}
@@ -99,8 +100,8 @@
 	assert.Empty(t, served)
 }
 
-// The last response is followed by a close while more input arrives: the client gets all of the response, and
-// no reset.
+// The connection is closed after the last response while more input arrives. The client gets the complete response,
+// and no reset.
 func TestLingeringCloseDeliversResponse(t *testing.T) {
 	const size = 100 << 10
 	taken, release := make(chan bool), make(chan bool)
@@ -128,8 +129,8 @@
 	assert.Equal(t, io.EOF, err)
 }
 
-// A client leaves while its request is handled, with part of another request or several behind it: the
-// handler is told. If the client stays, the handler is not told anything.
+// A client leaves while its request is handled, and has pipelined a part of another request or several ones. The
+// handler is notified. If the client stays, the handler is not notified.
 func TestClientGoneBehindPipelinedBytes(t *testing.T) {
 	for name, disconnect := range map[string]func(net.Conn){
 		"closed": func(c net.Conn) { c.Close() },
@@ -151,25 +152,25 @@
 			<-handling
 			c.write(t, more)
 			require.Eventually(t, func() bool { return s.listener.allRead() }, time.Minute, time.Millisecond,
-				"what is behind has been read")
+				"the pipelined input was not read")
 			if disconnect == nil {
 				assert.Empty(t, gone, name)
 				close(release)
-				assert.Equal(t, len(more) > maxPipelinedKept, c.readResponse(t).Close, "what was not kept can't be answered")
+				assert.Equal(t, len(more) > maxPipelinedKept, c.readResponse(t).Close, "discarded input can't be answered")
 				continue
 			}
 			disconnect(c.Conn)
 			select {
 			case <-gone:
 			case <-time.After(10 * time.Second):
-				assert.Fail(t, "the handler was not told", "%s behind %d bytes", name, len(more))
+				assert.Fail(t, "the handler was not notified", "%s after %d pipelined bytes", name, len(more))
 				close(release)
 			}
 		}
 	}
 }
 
-// allRead reports whether pipelined input was read on each connection, and none is unread.
+// allRead reports whether, on each connection, pipelined input was read and no input is unread.
 func (l *listener) allRead() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -181,8 +182,8 @@
 	return true
 }
 
-// Shutdown begins while a request is handled with others pipelined behind it: all are answered, in order, and
-// only the last response says that it is the last.
+// Shutdown begins while a request is handled that has others pipelined after it. All are answered, in order, and
+// only the last response has Connection: close.
 func TestShutdownAnswersPipelinedRequests(t *testing.T) {
 	taken, release := make(chan bool, 9), make(chan bool)
 	s, _ := serve(t, 9, func(w http.ResponseWriter, r *http.Request) {
@@ -195,8 +196,8 @@
 	<-taken
 	c.write(t, strings.Replace(request, "/", "/b", 1)+strings.Replace(request, "/", "/c", 1))
 	require.Eventually(t, func() bool { return s.listener.allRead() }, time.Minute, time.Millisecond)
-	// In the future, so that the grace period of idle connections has not passed, however slow the machine
-	// is.
+	// The time is in the future, so that the grace period of idle connections can't have passed, also on a slow
+	// machine.
 	s.state.Shutdown(time.Now().Add(time.Minute), time.Hour)
 	close(release)
 	for _, want := range []string{"/", "/b", "/c"} {
@@ -211,7 +212,7 @@
 	assert.Equal(t, io.EOF, err)
 }
 
-// The read deadline passes while a request is handled with another pipelined behind it: both are answered.
+// The read deadline passes while a request is handled that has another pipelined after it. Both are answered.
 func TestReadTimeoutWithPipelinedRequest(t *testing.T) {
 	taken, release := make(chan bool, 9), make(chan bool)
 	s, _ := serve(t, 9, func(w http.ResponseWriter, r *http.Request) {
@@ -231,7 +232,7 @@
 	c.write(t, strings.Replace(request, "/", "/b", 1))
 	require.Eventually(t, func() bool { return s.listener.allRead() }, time.Minute, time.Millisecond)
 	close(release)
-	defer func() { assert.Less(t, reads.Load(), int32(50), "it doesn't spin") }()
+	defer func() { assert.Less(t, reads.Load(), int32(50), "the pending read spins") }()
 	for _, want := range []string{"/", "/b"} {
 		resp, err := http.ReadResponse(c.in, nil)
 		require.NoError(t, err)
@@ -241,8 +242,7 @@
 	}
 }
 
-// The listener closes while connections wait in the backlog, as the bound is reached: each is served in its
-// turn.
+// The listener closes while connections wait in the backlog because the limit is reached. All of them are served.
 func TestBacklogIsServedOnClose(t *testing.T) {
 	taken, release := make(chan bool, 9), make(chan bool)
 	s, done := serve(t, 1, func(http.ResponseWriter, *http.Request) { taken <- true; <-release })
@@ -261,8 +261,8 @@
 		defer s.listener.mu.Unlock()
 		return s.listener.stopping
 	}, time.Minute, time.Millisecond)
-	time.Sleep(2 * backlogDrainTimeout) // longer than a backlog that nothing holds up is drained
-	assert.Empty(t, done, "the port is still open")
+	time.Sleep(2 * backlogDrainTimeout) // longer than draining takes without waiting at the limit
+	assert.Empty(t, done, "Serve has ended before the backlog was drained")
 	close(release)
 	for _, c := range append(queue, first) {
 		assert.True(t, c.readResponse(t).Close)
@@ -271,14 +271,14 @@
 	require.Eventually(t, func() bool { return s.OpenConnections() == 0 }, time.Minute, time.Millisecond)
 }
 
-// At the bound a connection with a request that was not read yet is not evicted.
+// At the limit a connection with an unread request is not evicted.
 func TestEvictionSparesUnreadRequest(t *testing.T) {
 	port, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer port.Close()
 	l := &listener{conns: map[*clientConn]bool{}}
 	var idle net.Conn
-	for i, say := range []string{request, "", ""} {
+	for i, input := range []string{request, "", ""} {
 		far, err := net.Dial("tcp", port.Addr().String())
 		require.NoError(t, err)
 		defer far.Close()
@@ -286,11 +286,11 @@
 		require.NoError(t, err)
 		defer near.Close()
 		l.conns[&clientConn{Conn: near, listener: l, state: http.StateIdle, stateSince: time.Unix(int64(i), 0)}] = true
-		io.WriteString(far, say)
+		io.WriteString(far, input)
 		if i == 1 {
 			idle = near
 		}
 	}
 	require.Eventually(t, func() bool { return l.longestInState(http.StateIdle, 0).Conn == idle }, time.Minute,
-		time.Millisecond, "of those that rest the one that has for the longest")
+		time.Millisecond, "longest idle of the connections without unread input")
 }
--- a/internal/front/responsewriter.go
+++ b/internal/front/responsewriter.go
@@ -7,12 +7,12 @@
 	"sprucelane.example/sprucelane/internal/service"
 )
 
-// writeStallTimeout is the time for which a client may take nothing of a response. Handlers of long responses
-// extend the write deadline as they go.
+// writeStallTimeout is the maximum time for which a client may read nothing of a response. Handlers of long
+// responses extend the write deadline during the response.
 const writeStallTimeout = 10 * time.Second
 
-// trackRequests wraps a handler: it tells the connection when a request is being handled, and has the
-// response written by a responseWriter.
+// trackRequests wraps a handler. It records at the connection that a request is being handled, and passes a
+// responseWriter to the handler.
 func trackRequests(state *service.State, handler http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		rw := &responseWriter{ResponseWriter: w, state: state}
@@ -28,22 +28,22 @@
 }
 
 // responseWriter marks a response as the last one of its connection (Connection: close) while the server
-// drains. During the grace period of idle connections a response is not the last if another request has
-// arrived behind its own, so that this is answered too.
+// drains. During the grace period of idle connections a response is not the last one if another request has
+// arrived after its own, so that the other request is answered too.
 type responseWriter struct {
 	http.ResponseWriter
 	state         *service.State
-	conn          *clientConn // nil: under TLS
+	conn          *clientConn // nil under TLS
 	headerWritten bool
 }
 
-// WriteHeader writes the head, with Connection: close if need be.
+// WriteHeader writes the head, with Connection: close if the response is the last one of its connection.
 func (w *responseWriter) WriteHeader(code int) {
 	if !w.headerWritten {
 		if w.isLast() {
 			w.Header().Set("Connection", "close")
 		}
-		// It fails only on a closed connection, as the writes then do.
+		// The call fails only on a closed connection, on which the writes fail too.
 		_ = http.NewResponseController(w.ResponseWriter).SetWriteDeadline(time.Now().Add(writeStallTimeout))
 	}
 	w.headerWritten = w.headerWritten || code >= http.StatusOK
@@ -58,7 +58,7 @@
 	return w.state.ClosesAfterResponse() && !(w.conn.moreArrived() && !w.state.ClosesIdle(time.Now()))
 }
 
-// Write writes the body, after the head.
+// Write writes a part of the body, after the head.
 func (w *responseWriter) Write(b []byte) (int, error) {
 	if !w.headerWritten {
 		w.WriteHeader(http.StatusOK)
@@ -66,5 +66,5 @@
 	return w.ResponseWriter.Write(b)
 }
 
-// Unwrap is for http.ResponseController.
+// Unwrap returns the wrapped writer, for http.ResponseController.
 func (w *responseWriter) Unwrap() http.ResponseWriter { return w.ResponseWriter }
--- a/internal/front/server.go
+++ b/internal/front/server.go
@@ -16,79 +16,83 @@
 	"sprucelane.example/sprucelane/internal/service"
 )
 
-// Timeouts and limits where Options don't set others.
+// Defaults of Options.
 const (
-	defaultReadHeaderTimeout = 2500 * time.Millisecond // clients are promised a close within 3 s
+	defaultReadHeaderTimeout = 2500 * time.Millisecond // clients rely on a close within 3 s
 	defaultIdleTimeout       = 2 * time.Minute
 	defaultMaxHeaderBytes    = 16 << 10
 )
 
 const (
-	// transferSlack is added to the longest deadline, for a client that is slow to send its request and read
+	// transferSlack is added to the longest deadline, for clients that are slow to send the request or to read
 	// the response.
 	transferSlack = 5 * time.Second
-	// drainPollInterval is the time between two looks at the connections while the server drains.
+	// drainPollInterval is the interval at which the state and the connections are checked while the server
+	// drains.
 	drainPollInterval = 20 * time.Millisecond
 )
 
-// errNotTCP reports a listener without a file descriptor.
-var errNotTCP = errors.New("front: the listener is not a TCP one")
+// errNotTCP is the error for a listener without a file descriptor.
+var errNotTCP = errors.New("front: listening socket can't be duplicated: not a TCP listener")
 
-// Server is a server for clients.
+// Server is an HTTP server for clients.
 type Server struct {
 	httpServer      *http.Server
 	listener        *listener
 	state           *service.State
-	idleTimeoutFunc func() time.Duration // nil: Options.IdleTimeout is fixed
+	idleTimeoutFunc func() time.Duration // nil: Options.IdleTimeout applies
 	closed          chan struct{}        // closed by Close
 }
 
 // Options are the settings of a server.
 type Options struct {
-	// Address is the TCP address to listen at, unless there is a Listener.
+	// Address is the TCP address to listen on if Listener is nil.
 	Address string
 
-	// Listener is a listening socket that was taken over from another process. nil: one is opened at Address.
+	// Listener is a listening socket that was taken over from another process. nil: Listen opens one on Address.
 	Listener net.Listener
 
-	// ReusePort allows other processes of the same user to listen at Address as well (SO_REUSEPORT).
+	// ReusePort allows other processes of the same user to listen on Address too (SO_REUSEPORT).
 	ReusePort bool
 
-	// MaxConnections bounds the client connections that are open at once. At the bound idle ones are closed
-	// for new ones. Each takes a file descriptor and some memory.
+	// MaxConnections limits the number of open client connections. At the limit, idle connections are closed
+	// to make room for new ones. Each connection takes a file descriptor and some memory.
 	MaxConnections int
 
 	// MaxRequestDeadline is the longest deadline of any request. net/http's read and write timeouts are 5 s
 	// longer.
 	MaxRequestDeadline time.Duration
 
-	// TLS configures TLS. nil: plain TCP. Under TLS pipelined input can't be watched, nor framing be scanned.
+	// TLS configures TLS. nil: plain TCP. Under TLS pipelined input isn't handled, and framing isn't
+	// scanned, as the input is encrypted.
 	TLS *tls.Config
 
-	// Admit is called for each new connection; one that is not admitted is reset at once, which costs far
-	// less than to serve it. nil: all are.
+	// Admit is called for each new connection. If it returns false, the connection is reset at once, which costs
+	// much less than serving it. nil: all connections are admitted.
 	Admit func() bool
 
-	// State is the state of service, which says when connections are closed. nil: one of its own, which never
+	// State is the state of service, which determines when connections are closed. nil: a new one, which never
 	// drains.
 	State *service.State
 
-	// ReadHeaderTimeout bounds the time in which the head of a request has to arrive. 0: 2.5 s.
+	// ReadHeaderTimeout is the time within which the head of a request must arrive. 0: 2.5 s.
 	ReadHeaderTimeout time.Duration
 
-	// IdleTimeout is the time after which a connection without a request is closed. Clients reuse connections
-	// only if it is longer than their pauses; a short one frees connections earlier. 0: 2 min.
+	// IdleTimeout is the time after which a connection without a request is closed. Clients can
+	// reuse connections only if it is longer than their pauses; a shorter timeout frees connections earlier.
+	// 0: 2 min.
 	IdleTimeout time.Duration
 
-	// IdleTimeoutFunc returns the idle timeout if it changes while the server runs. Values over 10 min have
-	// no effect. nil: IdleTimeout.
+	// IdleTimeoutFunc returns the current idle timeout, if it may change while the server runs. A timeout of
+	// more than 10 min has the effect of 10 min. nil: IdleTimeout applies.
 	IdleTimeoutFunc func() time.Duration
 
-	// MaxHeaderBytes bounds the head of a request, in bytes. 0: 16 KiB.
+	// MaxHeaderBytes is the maximum size of the head of a request in bytes. 0: 16 KiB.
 	MaxHeaderBytes int
 }
 
-// Listen opens the listening socket. Connections are accepted by Serve.
+// Listen returns a server, for which it opens the listening socket if there is none. Connections are accepted by
+// Serve.
 func Listen(options Options, handler http.Handler) (*Server, error) {
 	inner := options.Listener
 	if inner == nil {
@@ -111,13 +115,13 @@
 		idleTimeoutFunc: options.IdleTimeoutFunc, closed: make(chan struct{})}, nil
 }
 
-// newHTTPServer returns the server of net/http.
+// newHTTPServer returns the http.Server with these options.
 func newHTTPServer(options Options, l *listener, handler http.Handler) *http.Server {
 	if options.IdleTimeoutFunc != nil {
 		options.IdleTimeout = maxIdleTimeout
 	}
-	// net/http reports the end of ReadTimeout during a handler as a client that has left, so it must exceed
-	// all deadlines.
+	// If ReadTimeout ends while a handler runs, net/http reports that the client has left. So it must be longer
+	// than all deadlines.
 	timeout := options.MaxRequestDeadline + transferSlack
 	return &http.Server{
 		Handler:           trackRequests(options.State, handler),
@@ -129,11 +133,11 @@
 		MaxHeaderBytes:    cmp.Or(options.MaxHeaderBytes, defaultMaxHeaderBytes),
 		ConnState:         l.trackState,
 		ConnContext:       withConn,
-		ErrorLog:          log.New(io.Discard, "", 0), // it reports clients' broken connections
+		ErrorLog:          log.New(io.Discard, "", 0), // it only reports broken connections of clients
 	}
 }
 
-// File returns a duplicate of the listening socket, to be handed to another process.
+// File returns a duplicate of the listening socket, for another process.
 func (s *Server) File() (*os.File, error) {
 	t, ok := s.listener.Listener.(*net.TCPListener)
 	if !ok {
@@ -142,7 +146,7 @@
 	return t.File()
 }
 
-// Pause leaves new connections in the backlog, until Resume.
+// Pause stops accepting connections, which stay in the backlog until Resume.
 func (s *Server) Pause() { s.listener.setPaused(true) }
 
 // Resume accepts new connections again.
@@ -151,8 +155,8 @@
 // Addr returns the address of the listening socket.
 func (s *Server) Addr() string { return s.listener.Addr().String() }
 
-// SetMaxConnections changes Options.MaxConnections. Connections beyond a lower bound are not closed for it,
-// but new ones wait.
+// SetMaxConnections changes Options.MaxConnections. If more connections are open than a lower limit
+// allows, Accept evicts idle ones or waits before it admits a new one.
 func (s *Server) SetMaxConnections(maxConns int) {
 	s.listener.mu.Lock()
 	s.listener.maxConns = maxConns
@@ -160,8 +164,8 @@
 	s.listener.mu.Unlock()
 }
 
-// Serve accepts and serves connections until the server is closed, or shutdown has closed the listener, in
-// which case it returns nil. Connections may still be open then.
+// Serve accepts and serves connections until the server is closed or shutdown has closed the listener. After
+// shutdown it returns nil, and connections may still be open.
 func (s *Server) Serve() error {
 	go s.runDrain()
 	if s.idleTimeoutFunc != nil {
@@ -207,8 +211,8 @@
 	}
 }
 
-// OpenConnections counts the connections, lingering ones included. A backlog that is being drained counts as
-// one.
+// OpenConnections returns the number of open connections, including lingering ones. A backlog that is being
+// drained counts as one.
 func (s *Server) OpenConnections() int {
 	l := s.listener
 	l.mu.Lock()
--- a/internal/front/server_test.go
+++ b/internal/front/server_test.go
@@ -13,8 +13,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-func serve(t *testing.T, sockets int, h http.HandlerFunc) (*Server, chan error) {
-	s, err := Listen(Options{Address: "127.0.0.1:0", MaxConnections: sockets, MaxRequestDeadline: time.Minute}, h)
+func serve(t *testing.T, maxConns int, h http.HandlerFunc) (*Server, chan error) {
+	s, err := Listen(Options{Address: "127.0.0.1:0", MaxConnections: maxConns, MaxRequestDeadline: time.Minute}, h)
 	require.NoError(t, err)
 	s.state.MarkStarted()
 	done := make(chan error, 1)
@@ -30,7 +30,7 @@
 	return &testClient{c, bufio.NewReader(c)}
 }
 
-// testClient is a client's connection.
+// testClient is the connection of a client, with a reader of its input.
 type testClient struct {
 	net.Conn
 	in *bufio.Reader
@@ -49,8 +49,8 @@
 	return resp
 }
 
-// At shutdown all accepted requests are answered, marked as the last of their connection, and so are those on
-// connections that are opened shortly after.
+// At shutdown all accepted requests are answered, and so are those on connections that are opened shortly
+// afterwards. Each response is marked as the last one of its connection.
 func TestShutdownAnswersAllAccepted(t *testing.T) {
 	taken, release := make(chan bool, 2), make(chan bool)
 	s, done := serve(t, 9, func(http.ResponseWriter, *http.Request) { taken <- true; <-release })
@@ -74,10 +74,10 @@
 	assert.Error(t, err)
 }
 
-// While the server drains a response is the last of its connection, also if its request began before; a
-// client that sends a request within the grace period has its response. Then idle connections are closed, new
-// ones without a byte too, but not one on which a request has begun to arrive, however slowly. After the
-// drain connections stay open as before.
+// While the server drains, each response is the last one of its connection, also if the request began before the
+// drain. A request within the grace period is answered. Then idle connections are closed, including new ones on
+// which nothing was sent, but not one on which a request has begun to arrive, however slowly. After the drain
+// connections stay open again.
 func TestDrain(t *testing.T) {
 	taken, release := make(chan bool, 1), make(chan bool)
 	s, _ := serve(t, 9, func(_ http.ResponseWriter, r *http.Request) {
@@ -86,8 +86,8 @@
 			<-release
 		}
 	})
-	idle, asks, long, silent, slow := dial(t, s), dial(t, s), dial(t, s), dial(t, s), dial(t, s)
-	for _, c := range []*testClient{idle, asks, slow} {
+	idle, active, long, unused, slow := dial(t, s), dial(t, s), dial(t, s), dial(t, s), dial(t, s)
+	for _, c := range []*testClient{idle, active, slow} {
 		c.send(t)
 		assert.False(t, c.readResponse(t).Close)
 	}
@@ -96,9 +96,9 @@
 	io.WriteString(slow, "GET / HTTP/1.1\r\nHo")
 	require.Eventually(t, func() bool { return s.listener.requestsBegun() == 2 }, time.Minute, time.Millisecond)
 	s.state.Drain(time.Now())
-	asks.send(t)
-	assert.True(t, asks.readResponse(t).Close)
-	for _, c := range []*testClient{asks, idle, silent} {
+	active.send(t)
+	assert.True(t, active.readResponse(t).Close)
+	for _, c := range []*testClient{active, idle, unused} {
 		_, err := c.in.ReadByte()
 		assert.Equal(t, io.EOF, err)
 	}
@@ -117,8 +117,8 @@
 	}
 }
 
-// At the bound on connections the one that is idle for the longest is evicted, since connections in the
-// backlog count as accepted.
+// At the limit on connections the one that has been idle for the longest is evicted, because for their clients
+// connections in the backlog are already accepted.
 func TestIdleConnectionIsEvicted(t *testing.T) {
 	s, _ := serve(t, 2, func(http.ResponseWriter, *http.Request) {})
 	var first *testClient
@@ -135,7 +135,8 @@
 	assert.Equal(t, io.EOF, err)
 }
 
-// So are connections that send nothing: opened by the hundred they must not keep requests out.
+// At the limit, connections that have sent nothing are evicted too: a large number of them must not keep out
+// requests.
 func TestSilentConnectionsAreEvicted(t *testing.T) {
 	s, _ := serve(t, 3, func(http.ResponseWriter, *http.Request) {})
 	for range 9 {
@@ -149,8 +150,8 @@
 func (l *listener) requestsBegun() (n int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for k := range l.conns {
-		if k.requestBegun {
+	for c := range l.conns {
+		if c.requestBegun {
 			n++
 		}
 	}
@@ -160,20 +161,20 @@
 func (l *listener) idleCount() (n int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for k := range l.conns {
-		if k.state == http.StateIdle {
+	for c := range l.conns {
+		if c.state == http.StateIdle {
 			n++
 		}
 	}
 	return n
 }
 
-// When connections arrive faster than they can be served, those that are not admitted are reset before a byte
-// of them is read and take no place, and the others are served.
+// When connections arrive faster than they can be served, those that are not admitted are reset before any byte is
+// read, and don't count towards the limit. The others are served.
 func TestAdmit(t *testing.T) {
-	var came, served atomic.Int32
+	var arrived, served atomic.Int32
 	s, err := Listen(Options{Address: "127.0.0.1:0", MaxConnections: 64, MaxRequestDeadline: time.Minute,
-		Admit: func() bool { return came.Add(1)%10 == 0 }},
+		Admit: func() bool { return arrived.Add(1)%10 == 0 }},
 		http.HandlerFunc(func(http.ResponseWriter, *http.Request) { served.Add(1) }))
 	require.NoError(t, err)
 	go s.Serve()
--- a/internal/front/socket.go
+++ b/internal/front/socket.go
@@ -7,7 +7,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// SetReusePort sets SO_REUSEPORT, with which another process of the same user may listen at the same address.
+// SetReusePort sets SO_REUSEPORT, so that another process of the same user may listen on the same address.
 // It is the Control function of a net.ListenConfig.
 func SetReusePort(_, _ string, raw syscall.RawConn) error {
 	var optErr error
@@ -19,8 +19,8 @@
 	return optErr
 }
 
-// peek tests for unread input without reading it: 0 bytes without an error are the end of file, EAGAIN means
-// that there is none.
+// peek tests for unread input without reading it. It returns 1 if there is any, 0 and no error at end of file, and
+// EAGAIN if there is neither.
 func peek(raw syscall.Conn) (n int, err error) {
 	rc, err := raw.SyscallConn()
 	if err != nil {
--- a/internal/pool/pool_test.go
+++ b/internal/pool/pool_test.go
@@ -20,14 +20,14 @@
 
 func (c carrierFunc) Carry(f *core.Attempt) (core.End, core.Answer) { return c(f) }
 
-func newTestPool(t *testing.T, sockets int, through func(*Pool, *core.Attempt) (core.End, core.Answer),
+func newTestPool(t *testing.T, maxConns int, carrier func(*Pool, *core.Attempt) (core.End, core.Answer),
 	members ...*fake.Peer) (*Pool, func() core.Answer) {
 	d := fake.Deployment()
-	p := New(Options{MaxConnections: sockets, StaleWindow: time.Minute, IdleTimeout: d.IdleTimeout,
+	p := New(Options{MaxConnections: maxConns, StaleWindow: time.Minute, IdleTimeout: d.IdleTimeout,
 		ConnectTimeout: d.ConnectTimeout})
 	t.Cleanup(p.Close)
 	c, err := core.New(d.Settings, 1, core.NewClock(),
-		carrierFunc(func(f *core.Attempt) (core.End, core.Answer) { return through(p, f) }), nil)
+		carrierFunc(func(f *core.Attempt) (core.End, core.Answer) { return carrier(p, f) }), nil)
 	require.NoError(t, err)
 	var list []policy.ServerInfo
 	for i, m := range members {
--- a/internal/pool/race_test.go
+++ b/internal/pool/race_test.go
@@ -106,18 +106,18 @@
 		p.Set(1, m.Addr, policy.Ready)
 		c.Servers(policy.ListFull, []policy.ServerInfo{{ID: 1, Weight: 1}})
 		ctx, leave := context.WithCancel(context.Background())
-		answered, on := make(chan bool), make(chan bool)
+		answered, hookDone := make(chan bool), make(chan bool)
 		p.onConnected = func(*core.Attempt) {
 			test.happens(p, c, leave)
 			if test.kind != core.Refused { // with Refused, the answer is given only after this attempt has ended
 				<-answered
 			}
-			close(on)
+			close(hookDone)
 		}
 		a := c.Serve(ctx, core.Request{Message: &Message{Method: "POST", Target: "/work-order", Host: "x"},
 			Request: policy.Request{Class: 1, Units: 1, SetSize: 1, Deadline: c.Now() + 2*time.Second}})
 		close(answered)
-		<-on
+		<-hookDone
 		assert.Equal(t, test.kind, a.Kind, name)
 		require.Eventually(t, func() bool { n := p.Stats(); return n.Idle == test.kept && n.Open == test.kept }, time.Minute,
 			time.Millisecond, name)
--- a/internal/service/state_test.go
+++ b/internal/service/state_test.go
@@ -114,10 +114,10 @@
 func TestShutdownTimes(t *testing.T) {
 	for longest, killed := range map[time.Duration]time.Duration{time.Second: 1700 * time.Millisecond,
 		3 * time.Second: 3700 * time.Millisecond, 10 * time.Second: 3700 * time.Millisecond} {
-		answers, ends := ShutdownTimes(longest)
-		assert.Less(t, answers, ends)
-		assert.Less(t, ends, killed)
-		assert.Greater(t, answers, min(longest, 2900*time.Millisecond)+500*time.Millisecond)
+		responses, exit := ShutdownTimes(longest)
+		assert.Less(t, responses, exit)
+		assert.Less(t, exit, killed)
+		assert.Greater(t, responses, min(longest, 2900*time.Millisecond)+500*time.Millisecond)
 	}
 }
 
@@ -137,15 +137,15 @@
 func TestExitDeadline(t *testing.T) {
 	s, now := New(), time.Unix(1000, 0)
 	s.MarkStarted()
-	_, counts := s.ExitDeadline(now)
-	assert.False(t, counts)
+	_, applies := s.ExitDeadline(now)
+	assert.False(t, applies)
 	s.Drain(now)
-	_, counts = s.ExitDeadline(now.Add(time.Minute))
-	assert.False(t, counts, "the process keeps running")
+	_, applies = s.ExitDeadline(now.Add(time.Minute))
+	assert.False(t, applies, "the process keeps running")
 	s.Shutdown(now, testShutdownTimeout)
-	_, counts = s.ExitDeadline(now.Add(DefaultAcceptPeriod - 1))
-	assert.False(t, counts)
-	at, counts := s.ExitDeadline(now.Add(DefaultAcceptPeriod))
-	assert.True(t, counts)
+	_, applies = s.ExitDeadline(now.Add(DefaultAcceptPeriod - 1))
+	assert.False(t, applies)
+	at, applies := s.ExitDeadline(now.Add(DefaultAcceptPeriod))
+	assert.True(t, applies)
 	assert.Equal(t, now.Add(testShutdownTimeout), at)
 }
