--- a/internal/node/findings.go
+++ b/internal/node/findings.go
@@ -5,14 +5,14 @@
 	"strings"
 )
 
-// Finding is one fault of something that was read, with its location. It is part of replicated outcomes
-// (gob): the names of the fields are fixed.
+// Finding is one error in an input, such as a settings file or a document, with its location. It is encoded with
+// gob in replicated outcomes, so the names of the fields must not change.
 type Finding struct {
 	Place string // a line of a file, a key, a path in a document
 	Text  string
 }
 
-// Findings are all faults of one thing that was read. They are one error, so that all are reported together.
+// Findings are all errors of one input. They are returned as one error, so that all are reported together.
 type Findings []Finding
 
 // Error returns one line for each finding.
@@ -32,7 +32,7 @@
 	return f
 }
 
-// Addf adds a finding.
+// Addf adds a finding with a formatted text.
 func (f *Findings) Addf(place, format string, values ...any) {
 	*f = append(*f, Finding{Place: place, Text: fmt.Sprintf(format, values...)})
 }
--- a/internal/node/load.go
+++ b/internal/node/load.go
@@ -14,7 +14,8 @@
 	return LoadFile(path)
 }
 
-// LoadFile reads a settings file. The error is of type Findings: every fault with its location.
+// LoadFile reads a settings file. The error is of type Findings, and has all errors of the file with their
+// locations.
 func LoadFile(path string) (*Settings, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/node/logging.go
+++ b/internal/node/logging.go
@@ -7,9 +7,9 @@
 	"github.com/rs/zerolog"
 )
 
-// NewLogger returns a logger to standard error. Lines are JSON objects with the time in milliseconds, the
-// node's name, its role and the event (the message). An unknown level is info. It sets global options of
-// zerolog.
+// NewLogger returns a logger to standard error. Lines are JSON objects with the time in milliseconds, the name
+// and role of the node, and the event, which is the message. An unknown level is treated as info. NewLogger sets
+// global options of zerolog.
 func NewLogger(s *Settings, level string) zerolog.Logger {
 	return newLogger(os.Stderr, s, level)
 }
--- a/internal/node/metrics/metrics.go
+++ b/internal/node/metrics/metrics.go
@@ -1,11 +1,12 @@
-// Package metrics serves a role's metrics in Prometheus' text format.
+// Package metrics serves the metrics of a role in the Prometheus text format.
 //
-// A role declares its metrics as a list of [Metric]. Each reads its values where they are kept already, at the
-// moment when they are asked for: a process that nobody asks pays nothing for them but the memory of the list. The
-// names follow Prometheus' conventions: base units, _total for counters, _seconds and _bytes; labels have few
-// values, and where they name routes or backends, the keeper of the values bounds them.
+// A role declares its metrics as a list of [Metric]. Each metric reads its values, when it is scraped, from where the
+// role keeps them anyway: without scrapes the only cost is the memory of the list. The names follow the Prometheus
+// conventions: base units, _total for counters, _seconds and _bytes. Labels have few values; where they are names of
+// routes or backends, the code that keeps the values limits their number.
 //
-// docs/operate/metrics.md is made from the lists of all roles (the test of this package compares them).
+// The tables in docs/operate/metrics.md are generated from the lists of all roles, which the test of this package
+// checks.
 package metrics
 
 import (
@@ -18,14 +19,14 @@
 	"github.com/prometheus/common/expfmt"
 )
 
-// Kind is a metric's type.
+// Kind is the type of a metric.
 type Kind string
 
 // The kinds of metrics.
 const (
-	Counter   Kind = "counter"   // only rises while a process lives
-	Gauge     Kind = "gauge"     // goes up and down
-	Histogram Kind = "histogram" // counts by buckets, with their sum
+	Counter   Kind = "counter"   // never decreases while the process runs
+	Gauge     Kind = "gauge"     // may increase and decrease
+	Histogram Kind = "histogram" // counts of observations by bucket, and the sum of the observations
 )
 
 // Metric is one metric with its labels.
@@ -34,22 +35,22 @@
 	Help   string
 	Kind   Kind
 	Labels []string
-	Read   func(emit Emit) // nil in a list that only describes
+	Read   func(emit Emit) // nil in a list that is used only for its descriptions
 }
 
-// Emit takes the values of a metric while it is read.
+// Emit receives the values of a metric from its Read function.
 type Emit struct {
 	description *prometheus.Desc
 	kind        prometheus.ValueType
 	out         chan<- prometheus.Metric
 }
 
-// Value takes a value, with a value for each label.
+// Value emits a value, with a value for each label.
 func (e Emit) Value(value float64, labels ...string) {
 	e.out <- prometheus.MustNewConstMetric(e.description, e.kind, value, labels...)
 }
 
-// Bool takes 1 for true and 0 for false.
+// Bool emits 1 for true and 0 for false.
 func (e Emit) Bool(value bool, labels ...string) {
 	number := 0.0
 	if value {
@@ -58,8 +59,8 @@
 	e.Value(number, labels...)
 }
 
-// Histogram takes a histogram: the counts of its buckets, of which the last one has what is above all bounds, and the
-// sum of what was observed.
+// Histogram emits a histogram. bounds are the upper bounds of its buckets, and counts the numbers of observations in
+// each bucket, with one more at the end for those above all bounds. sum is the sum of the observations.
 func (e Emit) Histogram(bounds []float64, counts []uint64, sum float64, labels ...string) {
 	cumulative := make(map[float64]uint64, len(bounds))
 	total := uint64(0)
@@ -72,7 +73,7 @@
 	e.out <- prometheus.MustNewConstHistogram(e.description, total, sum, cumulative, labels...)
 }
 
-// collector reads a list of metrics when they are asked for.
+// collector reads a list of metrics at each scrape.
 type collector struct {
 	metrics      []Metric
 	descriptions []*prometheus.Desc
@@ -96,16 +97,17 @@
 	}
 }
 
-// Handler returns a handler that serves metrics, and those of the Go runtime and of the process. What it needs is
-// made at the first request. It panics there if a name stands twice, which the test of this package rules out.
+// Handler returns a handler that serves the listed metrics and those of the Go runtime and of the process. It calls
+// list, and creates the registry, at the first request. That request panics if two metrics have the same name; the
+// test of this package checks that there are none.
 func Handler(list func() []Metric) http.Handler {
 	return &handler{list: list, first: make(chan struct{}, 1)}
 }
 
-// handler serves a registry that is made at the first request.
+// handler serves a registry that is created at the first request.
 type handler struct {
 	list     func() []Metric
-	first    chan struct{} // held while the registry is made or read
+	first    chan struct{} // used as a mutex: held while the registry is created or a request is served
 	registry *prometheus.Registry
 }
 
@@ -142,7 +144,7 @@
 	return registry
 }
 
-// Table returns a list as a table for the operators' page, in Markdown.
+// Table returns a list as a Markdown table for the page for operators.
 func Table(list []Metric) string {
 	var text strings.Builder
 	text.WriteString("| metric | type | labels | meaning |\n| --- | --- | --- | --- |\n")
--- a/internal/node/metrics/metrics_test.go
+++ b/internal/node/metrics/metrics_test.go
@@ -18,7 +18,7 @@
 	"sprucelane.example/sprucelane/internal/node/metrics"
 )
 
-// page is the operators' page of metrics; -update-page writes its tables anew.
+// page is the page on metrics for operators; -update-page rewrites its tables.
 const page = "../../../docs/operate/metrics.md"
 
 var updatePage = flag.Bool("update-page", false, "write the tables of "+page+" anew")
@@ -33,7 +33,7 @@
 	{"batch", batch.Metrics(nil)},
 }
 
-// TestPage compares the operators' page with what the roles declare.
+// TestPage compares the tables of the page with the metrics that the roles declare.
 func TestPage(t *testing.T) {
 	raw, err := os.ReadFile(page)
 	if err != nil {
@@ -61,7 +61,7 @@
 	}
 }
 
-// TestConventions checks the names of all metrics against Prometheus' conventions.
+// TestConventions checks that all metrics follow the Prometheus naming conventions and have unique names.
 func TestConventions(t *testing.T) {
 	name := regexp.MustCompile(`^sprucelane_[a-z_]+$`)
 	for _, role := range roles {
@@ -77,7 +77,7 @@
 	}
 }
 
-// get asks a handler for its metrics.
+// get returns the response of a handler to a scrape.
 func get(handler http.Handler) string {
 	recorder := httptest.NewRecorder()
 	handler.ServeHTTP(recorder, httptest.NewRequest(http.MethodGet, "/metrics", nil))
@@ -92,10 +92,10 @@
 		{Name: "sprucelane_c_seconds", Help: "Cs.", Kind: metrics.Histogram,
 			Read: func(emit metrics.Emit) { emit.Histogram([]float64{0.1, 1}, []uint64{2, 1, 4}, 9.5) }},
 	}
-	Convey("A handler serves what the list reads, and what the runtime and the process tell", t, func() {
+	Convey("A handler serves the listed metrics and those of the runtime and the process", t, func() {
 		made := 0
 		handler := metrics.Handler(func() []metrics.Metric { made++; return list })
-		So(made, ShouldEqual, 0) // nothing before the first request
+		So(made, ShouldEqual, 0) // list is not called before the first request
 		text := get(handler)
 		for _, line := range []string{
 			"# TYPE sprucelane_a_total counter", `sprucelane_a_total{route="x\"y"} 3`, "sprucelane_b 1",
--- a/internal/node/parse.go
+++ b/internal/node/parse.go
@@ -11,8 +11,9 @@
 	"github.com/magiconair/properties"
 )
 
-// fileParser converts the values of a settings file and collects what is wrong with them. Its methods for
-// values return the zero value for one that is wrong, and the default for one that is absent.
+// fileParser converts the values of a settings file and collects findings for invalid ones. The methods that
+// convert a value return the default if the key is absent or empty. For an invalid value they add a finding, and
+// the result is not used.
 type fileParser struct {
 	path     string
 	lines    map[string]int // line of each key, from 1
@@ -20,8 +21,8 @@
 	findings Findings
 }
 
-// Parse parses the text of a settings file; findings name the path. The error is of type Findings. Unknown
-// keys are ignored, as the platform may add some.
+// Parse parses the text of a settings file. path is the file's path, for the locations of findings. The error is
+// of type Findings. Unknown keys are ignored, as the platform may add keys.
 func Parse(path string, text []byte) (*Settings, error) {
 	loader := properties.Loader{Encoding: properties.UTF8, DisableExpansion: true}
 	values, err := loader.LoadBytes(text)
@@ -36,7 +37,7 @@
 	return s, nil
 }
 
-// lineNumbers returns the line of each key, for findings: the properties package doesn't keep it.
+// lineNumbers returns the line of each key, for findings. The properties package doesn't keep it.
 func lineNumbers(text []byte) map[string]int {
 	lines := map[string]int{}
 	for i, line := range bytes.Split(text, []byte("\n")) {
@@ -47,7 +48,7 @@
 	return lines
 }
 
-// settings converts all settings. Type Settings documents them.
+// settings converts all settings, which type Settings documents.
 func (p *fileParser) settings() *Settings {
 	s := &Settings{
 		NodeName:        p.text("node-name", true),
@@ -89,7 +90,7 @@
 	return s
 }
 
-// bounds converts the settings bounds.*.
+// bounds converts the settings with keys bounds.*.
 func (p *fileParser) bounds() Bounds {
 	return Bounds{
 		SeedLag:            p.seconds("bounds.seed-lag-s", 3),
@@ -117,7 +118,7 @@
 	}
 }
 
-// location returns the place of a finding about a key.
+// location returns the place of a finding about a key: path, line if known, and key.
 func (p *fileParser) location(key string) string {
 	if line, known := p.lines[key]; known {
 		return fmt.Sprintf("%s:%d: %s", p.path, line, key)
@@ -125,7 +126,7 @@
 	return p.path + ": " + key
 }
 
-// text returns a value without surrounding space. A required one must not be empty.
+// text returns a value without surrounding space. A required value must not be empty.
 func (p *fileParser) text(key string, required bool) string {
 	value, found := p.values.Get(key)
 	value = strings.TrimSpace(value)
@@ -148,7 +149,7 @@
 	return text
 }
 
-// zones collects the keys zones.NAME.
+// zones returns the values of the keys zones.NAME, by zone name.
 func (p *fileParser) zones() map[string]string {
 	zones := map[string]string{}
 	for _, key := range p.values.Keys() {
@@ -172,7 +173,7 @@
 	}
 }
 
-// address parses an address that may be missing.
+// address parses an optional address.
 func (p *fileParser) address(key string) string {
 	text := p.text(key, false)
 	if text != "" {
@@ -203,7 +204,7 @@
 	return value
 }
 
-// nonNegative parses a number of 0 or more. NaN and numbers too large for a duration in seconds are wrong.
+// nonNegative parses a number of 0 or more. NaN and numbers of 1e15 or more are invalid.
 func (p *fileParser) nonNegative(key string, defaultValue float64) float64 {
 	text := p.text(key, false)
 	if text == "" {
@@ -242,7 +243,7 @@
 	return first, last
 }
 
-// splitList splits a list at commas. Empty elements are dropped.
+// splitList splits a list at commas and drops empty elements.
 func splitList(text string) []string {
 	var list []string
 	for part := range strings.SplitSeq(text, ",") {
--- a/internal/node/program/program.go
+++ b/internal/node/program/program.go
@@ -1,7 +1,7 @@
-// Package program starts the programs of gateways and batch processes: signals, flags, the settings file, the
-// log and the bounds of the heap. It doesn't know what a role does. A main calls CatchSignals first, then
-// Begin, and Reload on SIGHUP. Command sprucelane-control has flags of its own, and uses only the signals and
-// exit codes.
+// Package program sets up the programs of gateways and batch processes: signals, flags, the settings file, the
+// log and the limits of the heap. It has no code of a single role. A main function calls CatchSignals first, then
+// Begin, and Reload on SIGHUP. The command sprucelane-control has different flags, and uses only the signals and
+// exit codes of this package.
 package program
 
 import (
@@ -24,15 +24,15 @@
 )
 
 const (
-	// gcPercent is GOGC: the growth of the heap, in percent, after which it is collected. It is below Go's
-	// default of 100, as memory is scarcer on these machines than processor time.
+	// gcPercent is the value of GOGC: the growth of the heap, in percent, that triggers a collection. It is below
+	// Go's default of 100, as memory is scarcer on these machines than processor time.
 	gcPercent = 50
-	// memoryShare is the part of limits.memory-mb that is the heap's soft limit (GOMEMLIMIT). The rest is for
-	// what the limit doesn't cover.
+	// memoryShare is the share of limits.memory-mb that is set as Go's soft memory limit (GOMEMLIMIT). The rest
+	// is for memory that this limit doesn't cover.
 	memoryShare = 0.7
 )
 
-// options are the command line's flags.
+// options are the flags of the command line.
 type options struct {
 	Check    bool   `long:"check" description:"check the settings, report all findings and exit"`
 	LogLevel string `long:"log-level" env:"SPRUCELANE_LOG_LEVEL" default:"info" description:"debug, info, warn or error"`
@@ -43,10 +43,10 @@
 	Settings *node.Settings
 	Log      zerolog.Logger
 
-	check func(*node.Settings) error // what the role requires of its settings
+	check func(*node.Settings) error // validates the settings for the role
 }
 
-// Begin parses flags and loads the settings, which check validates for the role. If the program is not to
+// Begin parses the flags, loads the settings, and validates them by check for the role. If the program must not
 // run, because of invalid input, --help or --check, it returns nil and the exit code.
 func Begin(arguments []string, check func(*node.Settings) error) (*Program, int) {
 	var opt options
@@ -71,7 +71,7 @@
 	return p, ExitOK
 }
 
-// reportUsage prints an error of the command line, or the help, and gives the exit code.
+// reportUsage prints an error of the command line, or the help, and returns the exit code.
 func reportUsage(err error) int {
 	var wrong *flags.Error
 	if errors.As(err, &wrong) && wrong.Type == flags.ErrHelp {
@@ -82,7 +82,7 @@
 	return ExitUsage
 }
 
-// Load reads and validates the settings file as it is now.
+// Load reads and validates the current settings file.
 func (p *Program) Load() (*node.Settings, error) {
 	settings, err := node.Load()
 	if err != nil {
@@ -91,8 +91,8 @@
 	return settings, p.check(settings)
 }
 
-// Reload loads the settings again and calls apply with them. A file with findings is logged and changes
-// nothing.
+// Reload loads the settings again and calls apply with them. If the file has findings, they are logged and apply
+// is not called.
 func (p *Program) Reload(apply func(*node.Settings)) {
 	settings, err := p.Load()
 	if err != nil {
--- a/internal/node/program/program_test.go
+++ b/internal/node/program/program_test.go
@@ -12,7 +12,7 @@
 	"sprucelane.example/sprucelane/internal/node"
 )
 
-// validSettings is a settings file with all that is required.
+// validSettings is a settings file with all required settings.
 const validSettings = "node-name=n\nrole=r\nmachine-class=front\nip=10.0.0.1\nzone=z\n" +
 	"port-range=7360,7375\nseeds=10.0.0.1:8683\n"
 
@@ -26,13 +26,13 @@
 	t.Setenv(node.SettingsVariable, path)
 	write := func(text string) { So(os.WriteFile(path, []byte(text), 0o600), ShouldBeNil) }
 	accept := func(*node.Settings) error { return nil }
-	Convey("A program with valid settings is to run", t, func() {
+	Convey("With valid settings Begin returns a program", t, func() {
 		write(validSettings)
 		p, _ := Begin(nil, accept)
 		So(p, ShouldNotBeNil)
 		So(p.Settings.NodeName, ShouldEqual, "n")
 	})
-	Convey("Help and a check exit with 0", t, func() {
+	Convey("--help and --check exit with 0", t, func() {
 		write(validSettings)
 		for _, flag := range []string{"--help", "--check"} {
 			p, code := Begin([]string{flag}, accept)
@@ -51,7 +51,7 @@
 		_, code = Begin([]string{"--check"}, accept)
 		So(code, ShouldEqual, ExitUsage)
 	})
-	Convey("A reload applies new settings, and none with findings", t, func() {
+	Convey("A reload applies valid settings, and doesn't apply invalid ones", t, func() {
 		write(validSettings)
 		p, _ := Begin(nil, accept)
 		applied := 0
--- a/internal/node/program/programtest/programtest.go
+++ b/internal/node/program/programtest/programtest.go
@@ -1,5 +1,5 @@
-// Package programtest runs programs in processes of their own, for the tests of their mains. Only tests
-// import it.
+// Package programtest runs programs in separate processes, for tests of their main functions. Only tests import
+// it.
 package programtest
 
 import (
@@ -12,11 +12,11 @@
 	"sprucelane.example/sprucelane/internal/node"
 )
 
-// runVariable is set in the environment of a test binary that is to run the program instead of the tests.
+// runVariable is the environment variable that makes a test binary run the program instead of the tests.
 const runVariable = "SPRUCELANE_TEST_RUNS_MAIN"
 
-// Main runs a package's tests, or its program if ExitAfterEarlySignals started this process. A TestMain calls
-// it.
+// Main runs the tests of a package, or its program if ExitAfterEarlySignals has started this process. It is
+// called by TestMain, and doesn't return.
 func Main(m *testing.M, run func(arguments []string) int) {
 	if os.Getenv(runVariable) != "" {
 		os.Exit(run(nil))
@@ -24,10 +24,10 @@
 	os.Exit(m.Run())
 }
 
-// ExitAfterEarlySignals starts the program with invalid settings, sends it signals while it reads them, and
-// gives its exit code, or -1 if a signal has killed it. The settings file is a named pipe, which orders the
-// events without sleeps: opening it for writing blocks until the program has opened it for reading, and the
-// program then blocks until something is written.
+// ExitAfterEarlySignals starts the program with invalid settings, sends it signals while it reads the settings, and
+// returns its exit code, or -1 if a signal has killed it. The settings file is a named pipe, which orders the events
+// without sleeps: opening it for writing blocks until the program has opened it for reading, and the program then
+// blocks until something is written.
 func ExitAfterEarlySignals(t *testing.T, signals ...syscall.Signal) int {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "settings.conf")
--- a/internal/node/program/signals_test.go
+++ b/internal/node/program/signals_test.go
@@ -9,7 +9,7 @@
 )
 
 func TestSignals(t *testing.T) {
-	Convey("SIGTERM is received in spite of many SIGHUPs", t, func() {
+	Convey("SIGTERM is received after many SIGHUPs", t, func() {
 		signals := CatchSignals()
 		defer signals.Release()
 		send := func(one syscall.Signal) { So(syscall.Kill(os.Getpid(), one), ShouldBeNil) }
--- a/internal/node/settings_test.go
+++ b/internal/node/settings_test.go
@@ -39,7 +39,7 @@
 `
 
 func TestSettings(t *testing.T) {
-	Convey("A whole file is read", t, func() {
+	Convey("A complete file is parsed", t, func() {
 		s, err := Parse("settings.conf", []byte(sample))
 		So(err, ShouldBeNil)
 		So(s.NodeName, ShouldEqual, "front-huron-1")
@@ -53,7 +53,7 @@
 		So(s.Endpoint(PortControl), ShouldEqual, "10.1.0.14:7361")
 		So(s.SeedEndpoints(PortCoordination), ShouldResemble, []string{"10.1.0.14:7360", "10.2.0.22:7360"})
 	})
-	Convey("Every fault is named with its line and key", t, func() {
+	Convey("All errors are reported, each with its line and key", t, func() {
 		text := strings.Replace(sample, "ip=10.1.0.14\n", "ip=here\n", 1)
 		text = strings.Replace(text, "zone=huron\n", "", 1)
 		text = strings.Replace(text, "7360,7375", "7360", 1)
@@ -70,7 +70,7 @@
 }
 
 func TestLogger(t *testing.T) {
-	Convey("Each line names machine, role and event", t, func() {
+	Convey("Each line has the node, the role and the event", t, func() {
 		var out bytes.Buffer
 		logger := newLogger(&out, &Settings{NodeName: "n1", Role: "control"}, "info")
 		logger.Info().Int("version", 3).Msg("configuration_taken")
