--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -1,15 +1,15 @@
-// Package golden compares what a test encodes with bytes that an earlier version recorded, so that data on
+// Package golden compares encodings with bytes that an earlier version of the code has recorded, so that data on
 // disk and messages of running processes stay readable when the code changes.
 //
-// encoding/gob matches fields by name and skips those that it doesn't know: a renamed field is lost without
-// an error, and a type that was registered under another name can't be decoded as the value of an interface.
-// A test that encodes and decodes with the same code detects neither. Each check here therefore keeps a file
-// in testdata/golden of the calling package. It has the form of the type on its first line (see [Form]) and
-// the encoded bytes, in hexadecimal, on the others.
+// encoding/gob matches fields by name and skips unknown ones: a renamed field is lost without an error. A type
+// that was registered under another name can't be decoded as the value of an interface. A test that encodes and
+// decodes with the same code detects neither. Therefore each check of this package has a file in testdata/golden
+// of the calling package. The first line of the file is the form of the type (see [Form]), and the other lines
+// are the encoded bytes in hexadecimal.
 //
 // Use [Gob] for a struct that is encoded by itself, [Message] for one that is sent as the value of an
-// interface, and [Bytes] for encodings without gob. The flag -update-golden records the files of a package
-// anew, which is right only where a format is meant to change.
+// interface, and [Bytes] for encodings without gob. The flag -update-golden rewrites the files of a package. Use
+// it only where a format is meant to change.
 package golden
 
 import (
@@ -25,15 +25,14 @@
 	"testing"
 )
 
-// update records the golden files anew instead of comparing with them.
+// update rewrites the golden files before the comparison.
 var update = flag.Bool("update-golden", false, "record the golden files of internal/golden anew")
 
-// goldenDir is the folder of the files, in the folder of the package under test.
+// goldenDir is the directory of the files, relative to that of the package under test.
 const goldenDir = "testdata/golden"
 
-// Gob checks that values of T are encoded with the recorded fields and types, and that the recorded bytes of
-// a value whose fields are all set decode to that value. T is a struct that is encoded by itself, not as the
-// value of an interface.
+// Gob checks that T has the recorded form, and that the recorded bytes of a value with all fields set (see [Fill])
+// decode to that value. T is a struct that is encoded by itself, not as the value of an interface.
 func Gob[T any](t testing.TB, name string) {
 	t.Helper()
 	var want, got T
@@ -42,8 +41,8 @@
 	checkDecode(t, name, recorded, &got, &want)
 }
 
-// Message checks a type that is sent as the value of an interface: as Gob does, and that it is registered
-// under the recorded name. The sample only gives the type, which must be registered.
+// Message checks a type that is sent as the value of an interface. It does the checks of Gob, and also checks that
+// the type is registered under the recorded name. sample is any value of the type, which must be registered.
 func Message(t testing.TB, name string, sample any) {
 	t.Helper()
 	typ := reflect.TypeOf(sample)
@@ -55,7 +54,7 @@
 	checkDecode(t, name, recorded, &got, &want)
 }
 
-// encode returns what gob encodes for the value that a pointer points to.
+// encode returns the gob encoding of the value that a pointer points to.
 func encode(t testing.TB, name string, pointer any) []byte {
 	t.Helper()
 	var out bytes.Buffer
@@ -65,11 +64,11 @@
 	return out.Bytes()
 }
 
-// checkDecode checks that the recorded bytes decode, into got, to what want points to.
+// checkDecode decodes the recorded bytes into got, and checks that the result equals the value that want points to.
 func checkDecode(t testing.TB, name string, recorded []byte, got, want any) {
 	t.Helper()
 	if err := gob.NewDecoder(bytes.NewReader(recorded)).Decode(got); err != nil {
-		t.Errorf("%s: the recorded bytes can't be decoded: %v", name, err)
+		t.Errorf("%s: decode the recorded bytes: %v", name, err)
 		return
 	}
 	if !reflect.DeepEqual(got, want) {
@@ -78,8 +77,8 @@
 	}
 }
 
-// Bytes checks that an encoding without gob is exactly the recorded bytes. It returns those, for the test to
-// decode.
+// Bytes checks that an encoding without gob equals the recorded bytes. It returns the recorded bytes, for the test
+// to decode.
 func Bytes(t testing.TB, name string, encoded []byte) []byte {
 	t.Helper()
 	recorded := compare(t, name, "bytes", encoded)
@@ -89,7 +88,8 @@
 	return recorded
 }
 
-// compare checks the form of a type, and returns the recorded bytes. With -update-golden it records both.
+// compare checks that the form of a type is the recorded one, and returns the recorded bytes. With -update-golden
+// it first records the form and the encoded bytes.
 func compare(t testing.TB, name, form string, encoded []byte) []byte {
 	t.Helper()
 	path := filepath.Join(goldenDir, name+".txt")
@@ -102,7 +102,7 @@
 	}
 	recordedForm, digits, found := strings.Cut(string(data), "\n")
 	if !found {
-		t.Fatalf("%s: %s has one line", name, path)
+		t.Fatalf("%s: %s has no encoded bytes: got one line, want the form and then hexadecimal digits", name, path)
 	}
 	if recordedForm != form {
 		t.Errorf("%s: the form is\n%s\nwant\n%s", name, form, recordedForm)
@@ -114,7 +114,7 @@
 	return recorded
 }
 
-// digitsPerLine is the number of hexadecimal digits on a line of a file.
+// digitsPerLine is the number of hexadecimal digits on a line of a golden file.
 const digitsPerLine = 120
 
 // record writes a golden file.
@@ -135,8 +135,8 @@
 	}
 }
 
-// Form describes how gob sees a type: the names of fields in their order, with the kinds of their values.
-// Names of types are left out, as gob passes over them.
+// Form returns a description of a type as gob encodes it: the names of its fields, in order, with the kinds of
+// their values. Names of types are omitted, as gob ignores them.
 func Form(typ reflect.Type) string {
 	switch typ.Kind() {
 	case reflect.Pointer:
@@ -154,7 +154,7 @@
 	}
 }
 
-// fieldForms returns the exported fields of a struct, which are those that gob encodes, with their forms.
+// fieldForms returns the names and forms of the exported fields of a struct, which are the fields that gob encodes.
 func fieldForms(typ reflect.Type) []string {
 	var forms []string
 	for i := range typ.NumField() {
@@ -165,15 +165,15 @@
 	return forms
 }
 
-// Fill sets every exported field that the value points to, and every element of it, to a value of its own
-// that isn't zero, the same at each call. Slices get two elements and maps one. Fields of interface type stay
-// nil.
+// Fill sets all exported fields and elements of the value that a pointer points to. Numbers and texts get nonzero
+// values that differ from each other (up to maxScalar of them), and booleans are set to true. The values are the
+// same at each call. Slices get two elements and maps one. Fields of interface type stay nil.
 func Fill(pointer any) {
 	f := filler{}
 	f.fill(reflect.ValueOf(pointer).Elem())
 }
 
-// filler numbers the scalars that it sets, so that they differ.
+// filler counts the scalars that it sets, and derives their values from the count, so that they differ.
 type filler struct{ count int }
 
 // fill sets a value of any kind that gob encodes, except interfaces.
@@ -207,7 +207,7 @@
 	}
 }
 
-// fillMap sets a map to one with one key.
+// fillMap sets a map to one with a single key.
 func (f *filler) fillMap(value reflect.Value) {
 	value.Set(reflect.MakeMap(value.Type()))
 	key := reflect.New(value.Type().Key()).Elem()
@@ -217,10 +217,10 @@
 	value.SetMapIndex(key, element)
 }
 
-// maxScalar keeps numbers within the range of every integer kind.
+// maxScalar is the maximum number that is set, within the range of every integer kind.
 const maxScalar = 120
 
-// fillScalar sets a value without parts to the next number, or to a text with it.
+// fillScalar sets a scalar to the next number, or to a text with that number.
 func (f *filler) fillScalar(value reflect.Value) {
 	f.count++
 	number := 1 + f.count%maxScalar
--- a/internal/golden/golden_test.go
+++ b/internal/golden/golden_test.go
@@ -44,11 +44,11 @@
 	})
 }
 
-// TestRename shows the fault that the package detects.
+// TestRename checks that the form of a type changes when a field is renamed, which gob alone doesn't detect.
 func TestRename(t *testing.T) {
 	type before struct{ Life uint64 }
 	type after struct{ Incarnation uint64 }
-	Convey("A field with another name has another form", t, func() {
+	Convey("A type with a renamed field has another form", t, func() {
 		So(Form(reflect.TypeFor[before]()), ShouldNotEqual, Form(reflect.TypeFor[after]()))
 	})
 }
