--- a/internal/buffers/budget.go
+++ b/internal/buffers/budget.go
@@ -17,9 +17,9 @@
 	waits   uint64    // number of acquisitions that have had to wait
 }
 
-// waiter is a waiting acquisition.
+// waiter is a waiting acquisition of n bytes.
 type waiter struct {
-	n       int64         // bytes to acquire
+	n       int64
 	held    int64         // bytes of the budget that the caller holds while it waits
 	decided chan struct{} // closed once the bytes are acquired or refused
 	refused bool          // written before decided is closed
--- a/internal/front/linger.go
+++ b/internal/front/linger.go
@@ -11,8 +11,8 @@
 const (
 	lingerTimeout  = 500 * time.Millisecond
 	maxLingerBytes = 256 << 10
-	// lingerDivisor limits the number of lingering connections to 1/16 of the limit on open ones, to which they
-	// are added.
+	// lingerDivisor limits the number of lingering connections, which come in addition to the open ones, to 1/16
+	// of the limit on those.
 	lingerDivisor = 16
 )
 
@@ -37,7 +37,7 @@
 	for total := 0; total < maxLingerBytes; {
 		n, err := c.Conn.Read(buf[:])
 		total += n
-		if errors.Is(err, os.ErrDeadlineExceeded) { // set by net/http, as for its idle timeout
+		if errors.Is(err, os.ErrDeadlineExceeded) { // net/http's idle timeout may have caused the close
 			err = c.Conn.SetReadDeadline(time.Time{})
 		}
 		if err != nil {
--- a/internal/front/server.go
+++ b/internal/front/server.go
@@ -18,7 +18,7 @@
 
 // Defaults of Options.
 const (
-	defaultReadHeaderTimeout = 2500 * time.Millisecond // clients rely on a close within 3 s
+	defaultReadHeaderTimeout = 2500 * time.Millisecond // clients are promised a close within 3 s
 	defaultIdleTimeout       = 2 * time.Minute
 	defaultMaxHeaderBytes    = 16 << 10
 )
--- a/internal/pool/doc.go
+++ b/internal/pool/doc.go
@@ -1,5 +1,5 @@
 // Package pool is a pool of HTTP/1.1 connections to servers: it dials, writes requests, reads responses, and
-// keeps idle connections for further requests, within a bound on open connections. It is comparable
+// keeps idle connections for further requests, within a limit on open connections. It is comparable
 // to http.Transport, Envoy's connection pool or the transport of Caddy's reverse proxy, with these
 // differences:
 //
