--- a/internal/daemon/store/batch.go
+++ b/internal/daemon/store/batch.go
@@ -10,7 +10,7 @@
 // Put sets a key's value. It copies both.
 func (b *Batch) Put(key, value []byte) { b.add(kindPut, key, value) }
 
-// Delete deletes a key. It copies it.
+// Delete deletes a key. It copies the key.
 func (b *Batch) Delete(key []byte) { b.add(kindDelete, key, nil) }
 
 // add appends a record.
--- a/internal/daemon/store/checkpoint.go
+++ b/internal/daemon/store/checkpoint.go
@@ -1,6 +1,6 @@
 package store
 
-// This file has checkpoints: copies of the index on disk, which save replaying the log before them.
+// This file has checkpoints: copies of the index on disk, so that replay starts there and not at the first record.
 
 import (
 	"encoding/binary"
@@ -40,7 +40,7 @@
 	s.counters.BytesWritten += uint64(len(b))
 	s.mu.Unlock()
 	if old != 0 {
-		s.fs.Remove(checkpointName(old)) // a file that stays is removed by the next Open
+		s.fs.Remove(checkpointName(old)) // if this fails, the next Open removes the file
 	}
 	return nil
 }
@@ -53,7 +53,8 @@
 	index   map[string]*indexEntry
 }
 
-// encodeCheckpoint encodes, for each key, its newest entry of at most c.lastSeq. Replay reads the later ones.
+// encodeCheckpoint encodes, for each key, its newest entry whose sequence number is at most c.lastSeq. Replay
+// reads the later entries.
 func encodeCheckpoint(id ID, c checkpoint) []byte {
 	body, n := []byte(nil), 0
 	for k, e := range c.index {
@@ -123,8 +124,8 @@
 	return c, true
 }
 
-// loadCheckpoint takes the index from the checkpoint that the manifest names, and returns the position at which replay
-// continues. ok is false if there is none, or none that is intact: the whole log is replayed then.
+// loadCheckpoint loads the index from the checkpoint that the manifest names, and returns the position at which replay
+// continues. ok is false if there is no intact checkpoint; the whole log is replayed then.
 func (s *Store) loadCheckpoint() (segment uint64, offset int64, ok bool) {
 	if s.manifest.checkpoint == 0 {
 		return 0, 0, false
--- a/internal/daemon/store/compact.go
+++ b/internal/daemon/store/compact.go
@@ -9,8 +9,8 @@
 	"slices"
 )
 
-// maintain rotates the active segment, compacts and writes a checkpoint, each when it is due. An error ends all
-// writing.
+// maintain rotates the active segment, compacts and writes a checkpoint, each when it is due. After an error the
+// store accepts no more writes.
 func (s *Store) maintain() {
 	s.ioMu.Lock()
 	defer s.ioMu.Unlock()
@@ -27,7 +27,7 @@
 		err = s.rotate()
 	}
 	if candidates := s.compactionCandidates(); err == nil && large && len(candidates) > 0 {
-		err = s.compact(candidates) // which writes a checkpoint, too
+		err = s.compact(candidates) // compact writes a checkpoint, too
 	} else if err == nil && checkpointDue {
 		err = s.checkpoint()
 	}
@@ -39,7 +39,8 @@
 }
 
 // compactionCandidates returns the numbers of the sealed segments of which less than half is live, in the order of
-// replay. Compacting these alone bounds the space amplification at two, and rewrites a byte for each that it frees.
+// replay. Compacting these alone bounds the space amplification at two, and rewrites at most one byte for each byte
+// that it frees.
 func (s *Store) compactionCandidates() (list []uint64) {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
@@ -51,7 +52,7 @@
 	return list
 }
 
-// Compact compacts all sealed segments, the active one included, which it seals first.
+// Compact seals the active segment, and compacts all sealed segments.
 func (s *Store) Compact() error {
 	s.ioMu.Lock()
 	defer s.ioMu.Unlock()
@@ -87,10 +88,10 @@
 		return err
 	}
 	s.mu.RLock()
-	oldest := !slices.ContainsFunc(s.manifest.segments, func(g segmentInfo) bool {
+	dropTombstones := !slices.ContainsFunc(s.manifest.segments, func(g segmentInfo) bool {
 		return g.number < slices.Max(from) && !slices.Contains(from, g.number)
 	})
-	live := s.liveRecords(from, oldest)
+	live := s.liveRecords(from, dropTombstones)
 	firstSeq := s.lastSeq + 1
 	s.mu.RUnlock()
 	if len(live) > 0 {
@@ -116,7 +117,7 @@
 		r.entry.location = r.to
 		s.liveBytes[number] += int64(r.to.size)
 	}
-	if oldest {
+	if dropTombstones {
 		for k, e := range s.index {
 			if e.tombstone && slices.Contains(from, e.location.segment) {
 				delete(s.index, k)
@@ -140,12 +141,13 @@
 }
 
 // liveRecords returns the newest durable record of each key that is in one of the segments, by sequence number.
-// Tombstones are left out if no older segment remains that may hold a value of their key. mu is held for reading.
-func (s *Store) liveRecords(from []uint64, oldest bool) []relocation {
+// dropTombstones leaves out tombstones, and is set if no older segment remains that may hold a value of their key. mu
+// is held for reading.
+func (s *Store) liveRecords(from []uint64, dropTombstones bool) []relocation {
 	var list []relocation
 	for _, e := range s.index {
 		e = e.durableVersion(s.durableSeq)
-		if e != nil && slices.Contains(from, e.location.segment) && !(e.tombstone && oldest) {
+		if e != nil && slices.Contains(from, e.location.segment) && !(e.tombstone && dropTombstones) {
 			list = append(list, relocation{entry: e})
 		}
 	}
@@ -199,6 +201,6 @@
 	s.mu.Unlock()
 	for i, n := range numbers {
 		files[i].Close()
-		s.fs.Remove(segmentName(n)) // a file that stays is removed by the next Open
+		s.fs.Remove(segmentName(n)) // if this fails, the next Open removes the file
 	}
 }
--- a/internal/daemon/store/concurrent_write_test.go
+++ b/internal/daemon/store/concurrent_write_test.go
@@ -37,7 +37,8 @@
 func (f hookedFile) Sync() error { f.beforeSync(); return f.File.Sync() }
 
 // A key is written again while its previous value is being flushed, and a checkpoint is written before the new value is
-// flushed: the checkpoint has the previous value, which is there after a power failure.
+// flushed: the checkpoint has the previous value, and a store that is opened after a power failure
+// returns it.
 func TestWriteDuringFlushOfSameKey(t *testing.T) {
 	disk := &hookedFS{FS: faultfs.New(), beforeSync: func() {}}
 	s, err := store.Open(disk, store.Options{FlushInterval: time.Hour, CheckpointBytes: 1})
@@ -48,7 +49,7 @@
 		assert.NoError(t, s.Write(&b, d))
 	}
 	syncs, made := 0, s.Counters().Checkpoints
-	disk.beforeSync = func() { // of the first value, then of the second, before the checkpoint
+	disk.beforeSync = func() { // runs in the sync of the first value, and of the second one before the checkpoint
 		if syncs++; syncs <= 2 {
 			write([]string{"second", "third"}[syncs-1], store.Buffered)
 		}
--- a/internal/daemon/store/doc.go
+++ b/internal/daemon/store/doc.go
@@ -1,5 +1,5 @@
-// Package store is an embedded, log-structured key-value store for small values. A gateway keeps in it what has to
-// outlive its process (package keep).
+// Package store is an embedded, log-structured key-value store for small values. A gateway keeps the data in it
+// that has to survive a restart (package balances).
 //
 // # Model
 //
@@ -12,11 +12,11 @@
 // # Durability
 //
 // Store.Write returns once the batch is as durable as the caller asked: in memory (Buffered), after an fsync that it
-// shares with concurrent writers (GroupCommit), or after an fsync of its own (Immediate). Batches reach the disk in the
-// order of their sequence numbers, so what survives a crash is always a prefix of all batches, and contains all that
-// were acknowledged as durable. After the first failed write or fsync the store accepts no more writes: the kernel may
-// have dropped the dirty pages, and a later fsync that succeeds would prove nothing (Rebello et al., "Can Applications
-// Recover from fsync Failures?", 2020).
+// shares with concurrent writers (GroupCommit), or after an fsync that it starts itself (Immediate). Batches reach
+// the disk in the order of their sequence numbers, so the batches that survive a crash are always a prefix of all
+// batches, and include all that were acknowledged as durable. After the first failed write or fsync the store
+// accepts no more writes: the kernel may have dropped the dirty pages, and a later fsync that succeeds would prove
+// nothing (Rebello et al., "Can Applications Recover from fsync Failures?", 2020).
 //
 // # Recovery
 //
--- a/internal/daemon/store/format.go
+++ b/internal/daemon/store/format.go
@@ -1,12 +1,13 @@
 package store
 
-// The files of a store. All numbers are big endian; CRC is CRC-32C (Castagnoli).
+// This file has the format of a store's files, and its encoding and decoding. All numbers are big endian; CRC is
+// CRC-32C (Castagnoli).
 //
 //	LOCK         locked (flock) by the one process that has the directory open
 //	MANIFEST     names the files of the store; replaced by rename, hence atomically
 //	NNNNNNNN.seg segments of the log, by number; the last one in the manifest is the active one
 //	NNNNNNNN.ckp checkpoint: the index at a position of the log, where replay starts
-//	*.tmp        unfinished files that a crash has left; removed by Open
+//	*.tmp        incomplete files that a crash has left; removed by Open
 //
 // MANIFEST: 4 bytes "SPLM", version (2), 2 bytes 0, store ID (16), epoch (8), number of the checkpoint (8; 0: none),
 // number of segments (4), then for each segment: number (8), size in bytes (8; 0: it is the active one), first sequence
@@ -22,13 +23,13 @@
 // A batch is a run of records, the last of which has the flag. It is applied as a whole or not at all. Sequence numbers
 // rise by one from record to record, over all segments that compaction has not written; compaction keeps them.
 //
-// Checkpoint: 4 bytes "SPLC", version (2), 2 bytes 0, store ID (16), segment (8) and offset in it (8) up to which it
-// holds the index, highest sequence number (8), number of entries (8), CRC (4) of all that precedes it; then for each
+// Checkpoint: 4 bytes "SPLC", version (2), 2 bytes 0, store ID (16), segment (8) and offset in it (8) at which replay
+// continues, highest sequence number (8), number of entries (8), CRC (4) of all that precedes it; then for each
 // entry: kind (1), length of the key (2), key, segment (8), offset (8), length of the record (4), sequence number (8);
 // then CRC (4) of all entries.
 //
-// A reader rejects every version but its own, because it can't tell what it would lose. See the package documentation
-// for how torn writes are told from corruption.
+// A reader rejects every version but its own, because it cannot know which data it would lose. See the package
+// documentation for how torn writes are distinguished from corruption.
 
 import (
 	"encoding/binary"
@@ -51,7 +52,7 @@
 	segmentMagic    = "SPLS"
 	checkpointMagic = "SPLC"
 
-	// Sizes in bytes of what precedes the variable part of each structure.
+	// Sizes in bytes of the fixed part that each structure starts with.
 	commonHeaderSize     = 24 // magic, version, store ID: of segments and checkpoints
 	segmentHeaderSize    = 44
 	checkpointHeaderSize = 60
@@ -138,7 +139,7 @@
 	return r, size, true
 }
 
-// header encodes the start that segments and checkpoints have in common.
+// header returns the start that manifests, segments and checkpoints have in common.
 func header(magic string, id ID) []byte {
 	b := append([]byte(magic), formatVersion>>8, formatVersion&255, 0, 0)
 	return append(b, id[:]...)
@@ -148,11 +149,11 @@
 func checkHeader(b []byte, magic string, id ID) error {
 	switch {
 	case len(b) < commonHeaderSize || string(b[:4]) != magic:
-		return fmt.Errorf("not a file of a store: no %q at its beginning", magic)
+		return fmt.Errorf("not a file of a store: it does not start with %q", magic)
 	case binary.BigEndian.Uint16(b[4:]) != formatVersion:
 		return fmt.Errorf("form %d, of which this program knows only %d", binary.BigEndian.Uint16(b[4:]), formatVersion)
 	case ID(b[8:24]) != id:
-		return fmt.Errorf("of another store: %x, not %x", b[8:24], id[:])
+		return fmt.Errorf("file of another store: its ID is %x, want %x", b[8:24], id[:])
 	}
 	return nil
 }
@@ -170,10 +171,10 @@
 	}
 	if len(b) < segmentHeaderSize ||
 		crc(b[:segmentHeaderSize-crcSize]) != binary.BigEndian.Uint32(b[segmentHeaderSize-crcSize:]) {
-		return errors.New("its head is damaged")
+		return errors.New("segment header is truncated or its checksum doesn't match")
 	}
 	if n := binary.BigEndian.Uint64(b[32:]); n != number {
-		return fmt.Errorf("it is segment %d by its head", n)
+		return fmt.Errorf("segment header has the number of another segment: %d", n)
 	}
 	return nil
 }
--- a/internal/daemon/store/fs.go
+++ b/internal/daemon/store/fs.go
@@ -23,7 +23,7 @@
 	List() ([]string, error)
 	// Sync makes creations, renames and removals durable.
 	Sync() error
-	// Lock locks the directory against other processes until unlock is called. It returns ErrLocked if it is locked.
+	// Lock locks the directory against other processes until unlock is called. It returns ErrLocked if one holds the lock.
 	Lock(name string) (unlock func(), err error)
 }
 
@@ -105,7 +105,7 @@
 		}
 		return nil, fmt.Errorf("lock: %w", err)
 	}
-	return func() { file.Close() }, nil // the lock goes with the file, and with the process
+	return func() { file.Close() }, nil // closing the file releases the lock, and so does the end of the process
 }
 
 // osFile adds Size to an os.File.
--- a/internal/daemon/store/index.go
+++ b/internal/daemon/store/index.go
@@ -1,13 +1,13 @@
 package store
 
-// This file has the index in memory: where the newest record of each key is.
+// This file has the index in memory, which maps each key to the location of its newest record.
 
 // indexEntry is the newest record of a key.
 type indexEntry struct {
 	seq       uint64
 	value     []byte // nil: only on disk; set while the record is pending, and afterwards if it is small
 	location  location
-	tombstone bool // the key is deleted, which older segments may not know
+	tombstone bool // the key is deleted; older segments may still hold a value
 
 	// prev is the entry that this one has replaced, kept until this one is durable: a checkpoint and a compaction
 	// write down the newest durable entry of each key.
@@ -32,7 +32,7 @@
 	size    uint32 // of the encoded record, in bytes
 }
 
-// indexPut makes an entry the newest of its key, unless a newer one is known. mu is held.
+// indexPut makes an entry the newest of its key, unless the index has a newer one. mu is held.
 func (s *Store) indexPut(key string, e *indexEntry) {
 	if old := s.index[key]; old != nil {
 		if old.seq > e.seq {
--- a/internal/daemon/store/manifest.go
+++ b/internal/daemon/store/manifest.go
@@ -50,13 +50,13 @@
 // decodeManifest decodes a manifest.
 func decodeManifest(b []byte) (m manifest, err error) {
 	if len(b) < manifestHeaderSize+crcSize || string(b[:4]) != manifestMagic {
-		return m, errors.New("not the list of a store's files")
+		return m, errors.New("not a manifest: too short, or without the magic number")
 	}
 	if v := binary.BigEndian.Uint16(b[4:]); v != formatVersion {
 		return m, fmt.Errorf("form %d, of which this program knows only %d", v, formatVersion)
 	}
 	if crc(b[:len(b)-crcSize]) != binary.BigEndian.Uint32(b[len(b)-crcSize:]) {
-		return m, errors.New("damaged: its checksum doesn't fit")
+		return m, errors.New("damaged: checksum mismatch")
 	}
 	m.id, m.epoch, m.checkpoint = ID(b[8:24]), binary.BigEndian.Uint64(b[24:]), binary.BigEndian.Uint64(b[32:])
 	n := binary.BigEndian.Uint32(b[40:])
@@ -71,7 +71,7 @@
 	return m, nil
 }
 
-// newID draws a random ID.
+// newID returns a random ID.
 func newID() (id ID) {
 	rand.Read(id[:])
 	return id
@@ -83,7 +83,7 @@
 	if err := s.writeFile(name, m.encode()); err != nil {
 		return err
 	}
-	if err := s.fs.Sync(); err != nil { // the files that it names are durable before it is
+	if err := s.fs.Sync(); err != nil { // the files that m names are durable before m is
 		return err
 	}
 	if err := s.fs.Rename(name, manifestName); err != nil {
--- a/internal/daemon/store/read.go
+++ b/internal/daemon/store/read.go
@@ -9,7 +9,7 @@
 
 // Get returns a key's value; ok is false if the key does not exist.
 func (s *Store) Get(key []byte) (value []byte, ok bool, err error) {
-	for range 2 { // a compaction may remove the segment meanwhile, and has moved the record then
+	for range 2 { // if a compaction removes the segment meanwhile, it has moved the record
 		s.mu.RLock()
 		e := s.index[string(key)]
 		if e == nil || e.tombstone {
@@ -44,7 +44,7 @@
 }
 
 // Each calls visit with each key that has the prefix and its value, in the order of the keys, until visit returns
-// false. It is no snapshot: what is written meanwhile may or may not be visited.
+// false. It is not a snapshot: concurrent writes may or may not be visible to it.
 func (s *Store) Each(prefix []byte, visit func(key, value []byte) bool) error {
 	s.mu.RLock()
 	var keys []string
--- a/internal/daemon/store/recover.go
+++ b/internal/daemon/store/recover.go
@@ -1,6 +1,6 @@
 package store
 
-// This file has recovery: what Open does to get the index back from the files.
+// This file has recovery, in which Open rebuilds the index from the files.
 
 import (
 	"errors"
@@ -42,7 +42,7 @@
 	for i, g := range s.manifest.segments {
 		start := int64(segmentHeaderSize)
 		if ok && i < s.manifest.position(from) {
-			continue // the checkpoint has all of it
+			continue // the checkpoint covers the whole segment
 		}
 		if ok && g.number == from {
 			start = offset
@@ -80,18 +80,18 @@
 		return err
 	}
 	if size < g.sealedSize {
-		return &CorruptionError{name, size, fmt.Sprintf("the file ends here, of %d bytes", g.sealedSize)}
+		return &CorruptionError{name, size, fmt.Sprintf("file truncated, want %d bytes", g.sealedSize)}
 	}
 	s.segmentSizes[g.number] = g.sealedSize
 	return nil
 }
 
-// initialize creates a store in a directory without a manifest. It fails if there are files with data, whose manifest
-// must have been lost.
+// initialize creates a store in a directory without a manifest. It returns a *CorruptionError if there are files
+// with data, as their manifest must have been lost.
 func (s *Store) initialize(names []string) error {
 	for _, name := range names {
 		if isCheckpoint(name) {
-			return &CorruptionError{manifestName, 0, "missing, and there is " + name}
+			return &CorruptionError{manifestName, 0, "missing, although the directory has " + name}
 		}
 		if !isSegment(name) {
 			continue
@@ -101,15 +101,15 @@
 			return err
 		}
 		if len(b) > segmentHeaderSize { // a crash during the first Open leaves at most one segment, without records
-			return &CorruptionError{manifestName, 0, "missing, and there is " + name}
+			return &CorruptionError{manifestName, 0, "missing, although the directory has " + name}
 		}
 	}
 	s.manifest, s.nextFileNumber = manifest{id: newID()}, 1
 	return s.prepareForWriting(names)
 }
 
-// prepareForWriting removes the files of an unfinished change, truncates torn writes, and starts a segment of the next
-// epoch.
+// prepareForWriting removes the files that the manifest doesn't name, which an interrupted change has left, truncates
+// torn writes, and starts a segment of the next epoch.
 func (s *Store) prepareForWriting(names []string) error {
 	known := []string{manifestName, lockName, checkpointName(s.manifest.checkpoint)}
 	for _, g := range s.manifest.segments {
@@ -138,7 +138,7 @@
 				return err
 			}
 		}
-		// The records were read from the page cache, perhaps. They must not disappear in a later crash.
+		// The records may have been read from the page cache alone. The sync keeps a later crash from losing them.
 		if err := f.Sync(); err != nil {
 			return err
 		}
@@ -163,7 +163,7 @@
 	var keys []string
 	last := s.lastSeq
 	if from == segmentHeaderSize && g.firstSeq > 0 {
-		// A compacted segment starts with older records than those before it, or skips sequence numbers.
+		// A compacted segment starts with older records than the segments before it have, or skips sequence numbers.
 		if last = max(last, g.firstSeq-1); sealed {
 			last = g.firstSeq - 1
 		}
@@ -177,7 +177,7 @@
 			}
 			if after, lost := laterDurableRecord(b, at+1, last); lost {
 				return 0, &CorruptionError{segmentName(g.number), at,
-					fmt.Sprintf("a record can't be read, and that at byte %d says that it was durable", after)}
+					fmt.Sprintf("a record can't be read, although the record at byte %d shows that it was durable", after)}
 			}
 			break
 		}
@@ -199,12 +199,12 @@
 		s.lastSeq = max(s.lastSeq, g.firstSeq-1)
 	}
 	if len(batch) > 0 && sealed {
-		return 0, &CorruptionError{segmentName(g.number), end, "a batch has no end"}
+		return 0, &CorruptionError{segmentName(g.number), end, "the last batch of the sealed segment is incomplete"}
 	}
 	return end, nil
 }
 
-// maxCorruptionScan is how many bytes behind an unreadable record are searched for proof that it was durable.
+// maxCorruptionScan is how many bytes after an unreadable record are searched for evidence that it was durable.
 const maxCorruptionScan = 64 << 20
 
 // laterDurableRecord searches for an intact record that was written when a sequence number above last was durable. If
--- a/internal/daemon/store/repair.go
+++ b/internal/daemon/store/repair.go
@@ -1,6 +1,6 @@
 package store
 
-// This file has Repair.
+// This file has Repair, which salvages the readable records of a damaged store.
 
 import (
 	"cmp"
@@ -10,9 +10,9 @@
 	"slices"
 )
 
-// Repair makes a damaged store usable again: it writes all records that are readable into one new segment, and reports
-// what it gave up. It is a last resort: batches may be applied in part, and deleted keys may come back. The damaged
-// files are kept under names that end in ".damaged".
+// Repair makes a damaged store usable again: it writes all records that are readable into one new segment, and
+// reports the data that it could not read. It is a last resort: batches may be applied in part, and deleted keys may
+// come back. The damaged files are kept under names that end in ".damaged".
 func Repair(fs FS) ([]Finding, error) {
 	names, unlock, err := lockAndList(fs)
 	if err != nil {
@@ -52,7 +52,7 @@
 	return list, fs.Sync()
 }
 
-// salvaged is what is readable of a damaged store.
+// salvaged is the readable content of a damaged store.
 type salvaged struct {
 	id         ID
 	epoch      uint64
@@ -64,16 +64,16 @@
 // salvage reads the records of all segments in the directory, whether or not the manifest names them. It fails if there
 // is neither a manifest nor a segment that is readable.
 func salvage(fs FS, names []string) (found salvaged, err error) {
-	known := false // the store's ID
-	lose := func(file string, offset int64, what string) {
-		found.findings = append(found.findings, Finding{file, offset, "given up: " + what, true})
+	known := false // whether found has the store's ID and epoch
+	addLoss := func(file string, offset int64, data string) {
+		found.findings = append(found.findings, Finding{file, offset, "given up: " + data, true})
 	}
 	if b, err := readFile(fs, manifestName); err == nil {
 		if m, err := decodeManifest(b); err == nil {
 			found.id, found.epoch, known = m.id, m.epoch, true
 			for _, g := range m.segments {
 				if name := segmentName(g.number); !slices.Contains(names, name) {
-					lose(name, 0, "the file is missing")
+					addLoss(name, 0, "the file is missing")
 				}
 			}
 		}
@@ -94,20 +94,20 @@
 			found.id, found.epoch, known = ID(b[8:24]), max(found.epoch, binary.BigEndian.Uint64(b[24:])), true
 		}
 		if len(b) < segmentHeaderSize || checkSegmentHeader(b, found.id, number) != nil {
-			lose(name, 0, "not a segment of this store")
+			addLoss(name, 0, "not a segment of this store")
 			continue
 		}
 		records, gaps := scanRecords(b)
 		for _, g := range gaps {
-			lose(name, g.from, fmt.Sprintf("%d bytes", g.to-g.from))
+			addLoss(name, g.from, fmt.Sprintf("%d bytes", g.to-g.from))
 		}
 		found.records = append(found.records, records...)
 	}
 	if !known {
-		return found, errors.New("store: nothing in this folder can be read")
+		return found, errors.New("store: neither a manifest nor a segment of the directory can be read")
 	}
 	slices.SortStableFunc(found.records, func(a, b record) int { return cmp.Compare(a.seq, b.seq) })
-	// A compaction that did not complete has copied records that the old segments still hold.
+	// An interrupted compaction leaves copies of records that the old segments still hold.
 	found.records = slices.CompactFunc(found.records, func(a, b record) bool { return a.seq == b.seq })
 	return found, nil
 }
--- a/internal/daemon/store/segment.go
+++ b/internal/daemon/store/segment.go
@@ -1,6 +1,6 @@
 package store
 
-// This file has the life of a segment: it is started as the active one, appended to by flushes, and sealed.
+// This file has the life cycle of a segment: it starts as the active one, flushes append to it, and it is sealed.
 
 import (
 	"slices"
--- a/internal/daemon/store/store.go
+++ b/internal/daemon/store/store.go
@@ -12,7 +12,8 @@
 
 // The levels of durability.
 const (
-	// Buffered: in memory, and on disk after Options.FlushInterval at most. A crash loses the latest such batches.
+	// Buffered: in memory, and on disk after Options.FlushInterval at most. A crash loses the batches that are not
+	// flushed yet.
 	Buffered Durability = iota
 	// GroupCommit: on disk, by one fsync for all batches that were written in the meantime.
 	GroupCommit
@@ -56,10 +57,10 @@
 	return o
 }
 
-// Errors of Write that don't concern the disk.
+// The errors that Write returns for other reasons than a disk failure.
 var (
 	ErrClosed        = errors.New("store: closed")
-	ErrLimitExceeded = errors.New("store: over its limit")
+	ErrLimitExceeded = errors.New("store: limit of bytes or entries exceeded")
 )
 
 // CorruptionError reports that acknowledged data is missing or unreadable.
@@ -70,8 +71,8 @@
 }
 
 // Error implements error.
-func (d *CorruptionError) Error() string {
-	return fmt.Sprintf("store: %s, byte %d: %s", d.File, d.Offset, d.Reason)
+func (e *CorruptionError) Error() string {
+	return fmt.Sprintf("store: %s, byte %d: %s", e.File, e.Offset, e.Reason)
 }
 
 // Store is an open store. It is safe for concurrent use, Close included.
@@ -85,7 +86,7 @@
 	ioMu           sync.Mutex
 	nextFileNumber uint64
 
-	// mu guards the fields below. It is held while memory is changed, and, but for rotate, not during disk access.
+	// mu guards the fields below. It is not held during disk access, except by rotate and the functions it calls.
 	// The manifest and segmentFiles are changed only while ioMu is held too, so holding either lock suffices to read
 	// them.
 	mu           sync.RWMutex
@@ -100,13 +101,13 @@
 	durableSeq  uint64 // of the newest record on disk; at most lastSeq
 
 	pending        []byte        // encoded records that follow pendingOffset in the active segment
-	pendingOffset  int64         // end of the active segment without them
+	pendingOffset  int64         // offset in the active segment at which pending is written next
 	pendingEntries []*indexEntry // index entries of the pending records
 	group          *commitGroup  // of the pending records
 
 	bytesSinceCheckpoint int64
 	totalBytes           int64 // of all segments, pending records included
-	writeErr             error // first error of the disk; nothing is written after it
+	writeErr             error // first disk error; nothing is written after it
 	closed               bool
 	counters             Counters
 
@@ -130,7 +131,7 @@
 
 // Open opens the store in a directory, and creates it in an empty one. It locks the directory (ErrLocked), recovers
 // the index and increments the epoch. It returns a *CorruptionError if acknowledged data is missing; Verify reports
-// more, and Repair salvages the rest.
+// all damage, and Repair salvages the readable records.
 func Open(fs FS, opt Options) (*Store, error) {
 	unlock, err := fs.Lock(lockName)
 	if err != nil {
@@ -161,7 +162,7 @@
 	return s.manifest.id
 }
 
-// Epoch counts how often the store has been opened. An older copy of a directory has a smaller epoch.
+// Epoch returns how often the store has been opened. An older copy of a directory has a smaller epoch.
 func (s *Store) Epoch() uint64 {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
@@ -177,8 +178,8 @@
 	return c
 }
 
-// Close flushes what is pending, seals the segments, writes a checkpoint and unlocks the directory. Calls of Write that
-// are in progress are written, or get ErrClosed. A second call does nothing.
+// Close flushes the pending records, seals the segments, writes a checkpoint and unlocks the directory. Calls of
+// Write that are in progress are flushed, or return ErrClosed. A second call does nothing.
 func (s *Store) Close() error {
 	s.mu.Lock()
 	if s.closed {
@@ -193,7 +194,7 @@
 	if err == nil {
 		s.ioMu.Lock()
 		s.mu.Lock()
-		s.manifest = s.sealedManifest() // with the sizes, a truncation of a closed store is detected
+		s.manifest = s.sealedManifest() // the sizes make a truncation of a closed store detectable
 		s.mu.Unlock()
 		err = s.checkpoint()
 		s.ioMu.Unlock()
--- a/internal/daemon/store/store_test.go
+++ b/internal/daemon/store/store_test.go
@@ -19,10 +19,10 @@
 	"sprucelane.example/sprucelane/internal/daemon/store/faultfs"
 )
 
-// noBackgroundFlush are options with which nothing is flushed unless a writer waits for it.
+// noBackgroundFlush are options with which records are flushed only when a writer waits for it.
 var noBackgroundFlush = store.Options{FlushInterval: time.Hour}
 
-// open opens a store that must open.
+// open opens a store, and fails the test on an error.
 func open(t testing.TB, fs store.FS, opt store.Options) *store.Store {
 	s, err := store.Open(fs, opt)
 	require.NoError(t, err)
@@ -50,18 +50,18 @@
 	dir := t.TempDir()
 	want := map[string]string{}
 	var id store.ID
-	for life := range 4 {
+	for process := range 4 {
 		fs, err := store.OpenDir(dir)
 		require.NoError(t, err)
 		s := open(t, fs, store.Options{SegmentBytes: 2000, CheckpointBytes: 3000})
-		if life == 0 {
+		if process == 0 {
 			id = s.ID()
 		}
 		assert.Equal(t, id, s.ID())
-		assert.EqualValues(t, life+1, s.Epoch())
+		assert.EqualValues(t, process+1, s.Epoch())
 		assert.Equal(t, want, all(t, s))
 		for i := range 60 {
-			key, value := fmt.Sprint("key-", i%17), strings.Repeat(fmt.Sprint(life, "-", i, "."), 1+i%30)
+			key, value := fmt.Sprint("key-", i%17), strings.Repeat(fmt.Sprint(process, "-", i, "."), 1+i%30)
 			put(t, s, store.Durability(i%3), key, value)
 			want[key] = value
 		}
@@ -153,7 +153,7 @@
 	durable int                 // batches that were acknowledged as durable
 }
 
-// runWorkload writes random batches, and compacts now and then, until the disk fails.
+// runWorkload writes the given number of random batches, and compacts after some of them, until the disk fails.
 func runWorkload(s *store.Store, rng *rand.Rand, batches int, st *history) {
 	if len(st.states) == 0 {
 		st.states = []map[string]string{{}}
@@ -198,14 +198,14 @@
 			return history{states: st.states[:n+1], durable: n}
 		}
 	}
-	require.Failf(t, "not what was written", "%s: %d of %d batches were durable, there is %v", where, st.durable,
+	require.Failf(t, "not the content after a prefix", "%s: %d of %d batches were durable, got %v", where, st.durable,
 		len(st.states)-1, got)
 	return st
 }
 
-// The power is cut at every operation on the disk, while batches are written, segments sealed, checkpoints written and
-// segments compacted, and again at every operation of the recovery from that. No durable batch is lost, none is applied
-// in part, and none is invented.
+// The power is cut at every operation on the disk, while batches are written, segments sealed, checkpoints written
+// and segments compacted, and for some of these cuts again at each operation of the recovery. No durable batch is
+// lost, none is applied in part, and none is invented.
 func TestPowerCutAtEveryOperation(t *testing.T) {
 	small := store.Options{FlushInterval: time.Hour, SegmentBytes: 1200, CheckpointBytes: 2500}
 	run := func(cut int, seed uint64) (*faultfs.FS, history, int) {
@@ -246,12 +246,12 @@
 	}
 }
 
-// A thousand processes that end in power cuts at random: each continues from what the one before has left.
+// A thousand processes end in power cuts at random operations. Each opens the store that the previous one left.
 func TestRandomCrashes(t *testing.T) {
 	for seed := uint64(1); seed <= 50; seed++ {
 		rng := rand.New(rand.NewPCG(seed, 2))
 		fs, st := faultfs.New(), history{states: []map[string]string{{}}}
-		for life := range 20 {
+		for process := range 20 {
 			fs.PowerCutAt = 1 + rng.IntN(80)
 			s, err := store.Open(fs, store.Options{FlushInterval: time.Hour, SegmentBytes: 700, CheckpointBytes: 1500})
 			if err == nil {
@@ -262,7 +262,7 @@
 			}
 			fs = fs.Crash(rng.Uint64())
 			next := fs.Clone()
-			st = checkPrefix(t, next, st, fmt.Sprintf("seed %d, life %d", seed, life))
+			st = checkPrefix(t, next, st, fmt.Sprintf("seed %d, process %d", seed, process))
 			fs = next
 		}
 	}
@@ -273,16 +273,16 @@
 func closedStore(t testing.TB) (*faultfs.FS, map[string]string) {
 	fs := faultfs.New()
 	var st history
-	for life := range uint64(2) {
+	for process := range uint64(2) {
 		s := open(t, fs, store.Options{FlushInterval: time.Hour, SegmentBytes: 500, CheckpointBytes: 900})
-		runWorkload(s, rand.New(rand.NewPCG(life, 3)), 12, &st)
+		runWorkload(s, rand.New(rand.NewPCG(process, 3)), 12, &st)
 		require.NoError(t, s.Close())
 	}
 	return fs, st.states[len(st.states)-1]
 }
 
-// Every file of a closed store is truncated at every byte, and a bit of every byte flipped. The store opens with all
-// that was written, or reports which file is corrupt; never with less, nor with anything else. Verify reports the
+// Every file of a closed store is truncated at every byte, and a bit of every byte flipped. The store opens with
+// the whole content, or reports which file is corrupt. It never opens with missing or other content. Verify reports the
 // same, and after Repair the store opens, with no key that was never written.
 func TestTruncationAndBitFlipAtEveryByte(t *testing.T) {
 	fs, want := closedStore(t)
@@ -350,11 +350,11 @@
 		}
 	}
 	assert.NotZero(t, refused)
-	assert.NotZero(t, opened, "a checkpoint is dispensable")
+	assert.NotZero(t, opened, "the store opens without a checkpoint")
 }
 
 // After a crash, a bit of every byte of the active segment is flipped. A flipped record that others follow is
-// detected as lost; the last one can't be told from a torn write.
+// detected as lost; a flip in the last one can't be distinguished from a torn write.
 func TestBitFlipsAfterCrash(t *testing.T) {
 	fs := faultfs.New()
 	s := open(t, fs, noBackgroundFlush)
@@ -385,7 +385,7 @@
 	}
 }
 
-// After a write or fsync has failed nothing more is acknowledged; what was acknowledged before is there.
+// After a write or fsync has failed, no write is acknowledged, and all batches acknowledged before are still readable.
 func TestDiskErrors(t *testing.T) {
 	for _, kind := range []string{"full", "sync"} {
 		for at := 1; at < 60; at++ {
@@ -414,7 +414,7 @@
 	}
 }
 
-// A disk that ignores syncs loses durable batches, but what is there is still a prefix of the batches.
+// A disk that ignores syncs loses durable batches, but the remaining content is still a prefix of the batches.
 func TestIgnoredSyncs(t *testing.T) {
 	for seed := uint64(1); seed < 40; seed++ {
 		fs := faultfs.New()
@@ -586,9 +586,9 @@
 	})
 }
 
-// TestCloseBesideWrites closes a store while writers of each durability are at work, and readers of its identity. What
-// was acknowledged is there after the next start; everything else got ErrClosed.
-func TestCloseBesideWrites(t *testing.T) {
+// A store is closed during concurrent calls of Write, with each durability, and of ID and Epoch. Acknowledged keys are
+// there when it is opened again; all other calls of Write returned ErrClosed.
+func TestCloseDuringWrites(t *testing.T) {
 	for seed := range 40 {
 		fs := faultfs.New()
 		s, err := store.Open(fs, store.Options{FlushInterval: time.Millisecond, SegmentBytes: 600})
@@ -621,7 +621,7 @@
 		require.NoError(t, err)
 		for key := range acknowledged {
 			_, found, err := s.Get([]byte(key))
-			assert.True(t, found && err == nil, "%s is not there: %v", key, err)
+			assert.True(t, found && err == nil, "key %s was acknowledged, and is missing: %v", key, err)
 		}
 		require.NoError(t, s.Close())
 	}
--- a/internal/daemon/store/verify.go
+++ b/internal/daemon/store/verify.go
@@ -1,6 +1,6 @@
 package store
 
-// This file has Verify, and what it shares with Repair: reading a store that may be damaged.
+// This file has Verify, and the functions for reading a damaged store that Repair uses, too.
 
 import (
 	"fmt"
@@ -45,14 +45,14 @@
 	return list, nil
 }
 
-// verifyCheckpoint reports on the checkpoint. A damaged one is no loss, as the log has all that it holds.
+// verifyCheckpoint reports on the checkpoint. A damaged one loses no data, as the log has all its entries.
 func verifyCheckpoint(fs FS, m manifest) Finding {
 	f := Finding{File: checkpointName(m.checkpoint)}
 	s := &Store{fs: fs, manifest: m}
 	if _, _, ok := s.loadCheckpoint(); ok {
-		f.Description = fmt.Sprintf("%d entries up to number %d", len(s.index), s.lastSeq)
+		f.Description = fmt.Sprintf("%d entries up to sequence number %d", len(s.index), s.lastSeq)
 	} else {
-		f.Description = "can't be used: all segments are read at the next opening"
+		f.Description = "can't be used: the next Open replays all segments"
 	}
 	return f
 }
@@ -68,7 +68,7 @@
 		return []Finding{{name, 0, err.Error(), true}}
 	}
 	if g.sealedSize > int64(len(b)) {
-		list = append(list, Finding{name, int64(len(b)), fmt.Sprintf("the file ends here, of %d bytes", g.sealedSize), true})
+		list = append(list, Finding{name, int64(len(b)), fmt.Sprintf("file truncated, want %d bytes", g.sealedSize), true})
 	} else if g.sealedSize > 0 {
 		b = b[:g.sealedSize]
 	}
@@ -77,7 +77,7 @@
 		tornWrite := g.sealedSize == 0 && gap.to == int64(len(b))
 		description := fmt.Sprintf("%d bytes can't be read", gap.to-gap.from)
 		if tornWrite {
-			description += ": what a crash left of records that nobody was told of"
+			description += ": a torn write, of records that were not acknowledged"
 		}
 		list = append(list, Finding{name, gap.from, description, !tornWrite})
 	}
@@ -97,7 +97,7 @@
 	return names, unlock, nil
 }
 
-// byteRange is the bytes of a file from one offset up to, and without, another.
+// byteRange is a range of offsets in a file, without its end.
 type byteRange struct{ from, to int64 }
 
 // scanRecords decodes all intact records of a segment, and returns the ranges between them that are unreadable.
--- a/internal/daemon/store/write.go
+++ b/internal/daemon/store/write.go
@@ -7,12 +7,12 @@
 	"time"
 )
 
-// maxPendingBytes is how much may wait for the disk before Write blocks.
+// maxPendingBytes is the number of pending bytes above which Write blocks.
 const maxPendingBytes = 4 << 20
 
-// Write applies a batch and returns once it is as durable as asked. It blocks while too much is pending. It returns
-// ErrClosed, ErrLimitExceeded, or the error of the disk that has ended all writing (see Err); after the latter it is
-// unknown whether the batch is on disk.
+// Write applies a batch and returns once it is as durable as asked. It blocks while more than maxPendingBytes are
+// pending. It returns ErrClosed, ErrLimitExceeded, or the disk error after which the store accepts no more writes (see
+// Err); after a disk error it is unknown whether the batch is on disk.
 func (s *Store) Write(b *Batch, d Durability) error {
 	if len(b.records) == 0 {
 		return nil
@@ -20,7 +20,7 @@
 	size := 0
 	for _, r := range b.records {
 		if len(r.key) == 0 || len(r.key) > MaxKeySize || len(r.value) > MaxValueSize {
-			return fmt.Errorf("store: a key has 1 to %d bytes, a value up to %d", MaxKeySize, MaxValueSize)
+			return fmt.Errorf("store: a key must have 1 to %d bytes, a value at most %d", MaxKeySize, MaxValueSize)
 		}
 		size += r.size()
 	}
@@ -80,9 +80,9 @@
 func newCommitGroup() *commitGroup { return &commitGroup{done: make(chan struct{})} }
 
 // finish records the result of the flush and wakes the writers. It is called once.
-func (r *commitGroup) finish(err error) {
-	r.err = err
-	close(r.done)
+func (g *commitGroup) finish(err error) {
+	g.err = err
+	close(g.done)
 }
 
 // recountBytes recomputes totalBytes. mu is held.
@@ -93,7 +93,8 @@
 	}
 }
 
-// wakeFlusher asks for a flush without waiting for it. After Close nobody reads it: the last flush is Close's.
+// wakeFlusher asks for a flush without waiting for it. After Close nothing receives from wake; Close
+// does the last flush itself.
 func (s *Store) wakeFlusher() {
 	select {
 	case s.wake <- struct{}{}:
@@ -101,8 +102,8 @@
 	}
 }
 
-// flushLoop flushes when a writer waits for it, and every FlushInterval otherwise, and does the maintenance that
-// follows. It ends with Close.
+// flushLoop flushes when a writer waits for it, and every FlushInterval otherwise, and runs maintain after
+// each flush that succeeds. It returns when the store is closed.
 func (s *Store) flushLoop() {
 	defer close(s.flusherDone)
 	tick := time.NewTicker(s.opt.FlushInterval)
@@ -120,7 +121,7 @@
 	}
 }
 
-// flush writes what is pending to the active segment and syncs it.
+// flush writes the pending records to the active segment and syncs it.
 func (s *Store) flush() error {
 	s.ioMu.Lock()
 	defer s.ioMu.Unlock()
@@ -147,7 +148,7 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if err != nil { // it is unknown what of it is on disk, and a later fsync would not tell
+	if err != nil { // it is unknown how much of it is on disk, and a later fsync would not show it
 		err = s.fail(err)
 		group.finish(err)
 		return err
@@ -171,18 +172,18 @@
 	s.flushDone.Broadcast()
 }
 
-// fail ends all writing and fails the pending commit group. mu is held.
+// fail makes the store reject all further writes, and fails the pending commit group. mu is held.
 func (s *Store) fail(err error) error {
 	if s.writeErr == nil {
-		s.writeErr = fmt.Errorf("store: the disk failed, nothing more is acknowledged: %w", err)
+		s.writeErr = fmt.Errorf("store: disk failure, no more writes are accepted: %w", err)
 		s.flushDone.Broadcast()
-		s.group.finish(s.writeErr) // what is pending is never written
+		s.group.finish(s.writeErr) // the pending records are never written
 		s.group = newCommitGroup()
 	}
 	return s.writeErr
 }
 
-// Err returns the error that has ended all writing; nil: the store works.
+// Err returns the disk error after which the store accepts no more writes; nil: there was none.
 func (s *Store) Err() error {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
