--- a/internal/daemon/store/balances/encoding.go
+++ b/internal/daemon/store/balances/encoding.go
@@ -14,7 +14,7 @@
 	"sprucelane.example/sprucelane/policy"
 )
 
-// The keys: a prefix and the account's key in peers' messages, or the one key of the incarnation.
+// The keys of records: accountPrefix and the account's key as in peers' messages, or incarnationKey.
 const (
 	accountPrefix  = 'a'
 	incarnationKey = "l"
@@ -38,7 +38,7 @@
 type incarnation struct {
 	name        string   // the gateway's
 	lastAliveMs int64    // Unix time in ms
-	plans       []string // names of its plans, by number
+	plans       []string // names of the gateway's plans, by number
 }
 
 // encodeAccountKey returns the key of an account's record.
@@ -59,7 +59,7 @@
 // decodeBalance decodes an account's record. It rejects numbers that are not finite and times that are not positive.
 func decodeBalance(key, value []byte) (balance policy.QuotaBalance, atMs int64, err error) {
 	if len(key) != 9 {
-		return balance, 0, errors.New("an odd key")
+		return balance, 0, errors.New("key of an account doesn't have 9 bytes")
 	}
 	balance.Key = binary.BigEndian.Uint64(key[1:])
 	err = visitFields(value, func(number protowire.Number, integer uint64, _ []byte) {
@@ -73,7 +73,7 @@
 		}
 	})
 	if err == nil && (atMs <= 0 || math.IsNaN(balance.Balance) || math.IsInf(balance.Balance, 0)) {
-		err = errors.New("figures that can't be")
+		err = errors.New("balance is not finite, or time is not positive")
 	}
 	return balance, atMs, err
 }
@@ -91,7 +91,7 @@
 	return b
 }
 
-// decodeIncarnation decodes what encodeIncarnation has encoded.
+// decodeIncarnation decodes the message Life.
 func decodeIncarnation(value []byte) (l incarnation, err error) {
 	err = visitFields(value, func(number protowire.Number, integer uint64, text []byte) {
 		switch number {
--- a/internal/daemon/store/balances/keep.go
+++ b/internal/daemon/store/balances/keep.go
@@ -1,9 +1,9 @@
-// Package balances persists what a gateway has to know after a restart: how much of its quota each account has used. The
-// Keeper writes the balances that have changed to the gateway's store (package store) every WriteInterval, and gives
-// them back to the gateway when the next process opens the store. Together with the store's FlushInterval, that bounds
-// what a crash loses.
+// Package balances persists the data that a gateway needs after a restart: how much of its quota each account has
+// used. The Keeper writes the balances that have changed to the gateway's store (package store) every WriteInterval,
+// and restores them to the gateway when the next process opens the store. Together with the store's FlushInterval,
+// that bounds what a crash loses.
 //
-// It never delays the gateway: it works in a goroutine of its own, and a slow, full or failed disk only ends the
+// It never delays the gateway: it works in a separate goroutine, and a slow, full or failed disk only ends the
 // persisting. It never restores balances of another gateway: a store that is damaged or belongs to another gateway is
 // quarantined (renamed, for inspection), and the gateway starts with an empty one.
 //
@@ -28,8 +28,8 @@
 const (
 	// WriteInterval is how often changed balances are written.
 	WriteInterval = 100 * time.Millisecond
-	// heartbeatInterval is how often the incarnation is written when no balance changes. Its time tells the next
-	// process since when the gateway has not been running.
+	// heartbeatInterval is how often the incarnation is written when no balance changes. From its time the next
+	// process knows since when the gateway has not been running.
 	heartbeatInterval = time.Second
 	// lockRetryInterval is how often Run tries to open a store that another process has locked: a predecessor that is
 	// shutting down.
@@ -38,22 +38,22 @@
 	balanceTTL = time.Hour
 )
 
-// Gateway is what the Keeper needs of the gateway.
+// Gateway is the part of the gateway that the Keeper uses.
 type Gateway interface {
 	// QuotaBalances returns the balances that changed since a time, and the time to pass to the next call.
 	QuotaBalances(since policy.Time) (list []policy.QuotaBalance, now policy.Time)
-	// RestoreBalances takes the balances that the predecessor persisted.
+	// RestoreBalances restores the balances that the predecessor persisted.
 	RestoreBalances(list []policy.QuotaBalance)
 }
 
 // Options are the settings of a Keeper.
 type Options struct {
 	Path        string           // of the store's directory
-	Name        string           // the gateway's; a store of another name is quarantined
+	Name        string           // the gateway's; a store of another gateway is quarantined
 	Plans       []string         // names by number; balances are matched by the name, as numbers may change
 	Store       store.Options    // limits of the store
 	Now         func() time.Time // wall clock; nil: time.Now
-	OnLockRetry func()           // of tests; nil or called before each attempt to open a locked store
+	OnLockRetry func()           // for tests: called before each attempt to open a locked store; may be nil
 }
 
 // Keeper persists the quota balances of one gateway.
@@ -63,14 +63,14 @@
 
 	// mu guards the fields below. It is not held while the disk is accessed.
 	mu             sync.Mutex
-	store          *store.Store // nil: not open yet, another process has locked it
-	restored       int          // accounts
+	store          *store.Store // nil: not open, as another process has locked it
+	restored       int          // number of accounts whose balance was restored
 	quarantinePath string       // where the last unusable store was moved to; empty: there was none
 	err            error        // the latest error; nothing is written after the store's first one
 }
 
-// Open opens the store, gives the gateway what its predecessor persisted, and returns a Keeper that Run has to be
-// called on. If another process has the store locked, Run opens it later, and nothing is restored.
+// Open opens the store, restores the balances that the gateway's predecessor persisted, and returns a Keeper whose
+// Run the caller has to call. If another process has the store locked, Run opens it later, and nothing is restored.
 func Open(opt Options, g Gateway) (*Keeper, error) {
 	if opt.Now == nil {
 		opt.Now = time.Now
@@ -101,7 +101,7 @@
 	}
 	last, found, err := loadIncarnation(s)
 	if err != nil || found && last.name != k.opt.Name {
-		reason := fmt.Sprintf("of gateway %q", last.name)
+		reason := fmt.Sprintf("store of another gateway: %q", last.name)
 		if err != nil {
 			reason = err.Error()
 		}
@@ -137,8 +137,8 @@
 	return store.Open(fs, k.opt.Store)
 }
 
-// restore gives the gateway the balances that its last incarnation wrote, with their age by the wall clocks of both. If
-// the clock was set back, the age is 0, so that no quota counts as refilled.
+// restore gives the gateway the balances that its last incarnation wrote, with their age by the wall clocks of both
+// processes. If the clock was set back, the age is 0, so that no quota counts as refilled.
 func (k *Keeper) restore(s *store.Store, last incarnation) {
 	now := k.opt.Now().UnixMilli()
 	var list []policy.QuotaBalance
@@ -244,11 +244,11 @@
 	store.Counters
 	Restored       int    // accounts whose balance was restored
 	QuarantinePath string // where an unusable store was moved to; empty: there was none
-	Err            error  // why nothing more is persisted; nil: all is well
+	Err            error  // why balances are not persisted; nil: no error so far
 	Epoch          uint64 // how often the store has been opened; 0: it is not open
 }
 
-// Stats returns the counters.
+// Stats returns the counters and the latest error.
 func (k *Keeper) Stats() Stats {
 	k.mu.Lock()
 	defer k.mu.Unlock()
--- a/internal/daemon/store/balances/keep_test.go
+++ b/internal/daemon/store/balances/keep_test.go
@@ -45,10 +45,10 @@
 	g.changed = append(g.changed, list...)
 }
 
-// accountKeyFor returns an account's key with a plan.
+// accountKeyFor returns the key of an account that has the plan.
 func accountKeyFor(account, plan uint64) uint64 { return account<<32 | plan<<24 | 2 }
 
-// fixture is a Keeper that runs, and its gateway.
+// fixture is a running Keeper and its gateway.
 type fixture struct {
 	opt     Options
 	gateway *gateway
@@ -56,7 +56,7 @@
 	stop    func()
 }
 
-// startKeeper starts a process of a gateway on a directory, at some time.
+// startKeeper opens and runs the Keeper of a gateway on a store's directory, with a wall clock that stands at a time.
 func startKeeper(t *testing.T, path, gatewayName string, at time.Time) *fixture {
 	s := &fixture{gateway: &gateway{}, opt: Options{Path: path, Name: gatewayName, Plans: []string{"farm", "utility"},
 		Now: func() time.Time { return at }}}
@@ -138,7 +138,7 @@
 	kept.Close()
 }
 
-// While a predecessor has the store locked, Run waits for it, and persists from then on; nothing is restored.
+// While a predecessor has the store locked, Run retries to open it, and persists once it has; nothing is restored.
 func TestWaitsForPredecessorsLock(t *testing.T) {
 	path, at := filepath.Join(t.TempDir(), "store"), time.UnixMilli(1_700_000_000_000)
 	old := startKeeper(t, path, "g0", at)
@@ -161,7 +161,7 @@
 	<-done
 }
 
-// A directory that can't be created fails Open. A store that is full ends the persisting, and Stats says so.
+// A directory that can't be created fails Open. With a full store Stats returns ErrLimitExceeded.
 func TestStoreErrors(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "file")
 	require.NoError(t, os.WriteFile(file, nil, 0o600))
@@ -179,7 +179,7 @@
 	<-done
 }
 
-// No bytes make the decoders panic, and what they accept survives a round trip.
+// The decoders don't panic on any input, and a balance that they accept survives a round trip.
 func FuzzDecodeValues(f *testing.F) {
 	f.Add(encodeAccountKey(7), encodeBalance(policy.QuotaBalance{Key: 7, Customer: 9, Balance: -2.5}, 1_700_000_000_000))
 	f.Add([]byte(incarnationKey), encodeIncarnation(incarnation{"g0", 5, []string{"a", "b"}}))
@@ -188,7 +188,7 @@
 		if u, at, err := decodeBalance(key, value); err == nil {
 			again, at2, err := decodeBalance(encodeAccountKey(u.Key), encodeBalance(u, at))
 			if err != nil || again != u || at2 != at {
-				t.Fatalf("%+v became %+v", u, again)
+				t.Fatalf("%+v after a round trip: %+v", u, again)
 			}
 		}
 	})
--- a/internal/daemon/store/faultfs/crash.go
+++ b/internal/daemon/store/faultfs/crash.go
@@ -8,11 +8,12 @@
 	"slices"
 )
 
-// sectorSize is what a disk writes atomically at best, in bytes.
+// sectorSize is the largest unit that a disk may write atomically, in bytes.
 const sectorSize = 512
 
-// Crash returns the directory as a power failure at this moment may leave it. Of what was not synced, each sector is
-// written, lost or torn, and each change of a name has happened or not. The seed decides.
+// Crash returns the directory as a power failure at this moment may leave it. Each sector that was not synced
+// is written, lost or torn, and each creation, rename and removal that was not synced has happened or not. The seed
+// determines the outcome.
 func (f *FS) Crash(seed uint64) *FS {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -27,7 +28,7 @@
 	return next
 }
 
-// crashNames returns the directory after a power failure: the names of its last sync, with some of the changes since.
+// crashNames returns the directory after a power failure: the names of its last sync, with some of the later changes.
 func (f *FS) crashNames(rng *rand.Rand) map[string]*inode {
 	names := maps.Clone(f.durableNames)
 	for _, name := range sortedNames(f.files, f.durableNames) {
@@ -44,7 +45,7 @@
 	return names
 }
 
-// crash returns a file's content after a power failure: that of its last sync, with some sectors of the writes since.
+// crash returns a file's content after a power failure: that of its last sync, with some sectors of the later writes.
 func (n *inode) crash(rng *rand.Rand) []byte {
 	data := slices.Clone(n.durable)
 	for _, w := range n.unsynced {
--- a/internal/daemon/store/faultfs/faultfs.go
+++ b/internal/daemon/store/faultfs/faultfs.go
@@ -3,8 +3,8 @@
 // It models what the operating system guarantees and no more: until a file is synced, each sector that was written
 // may be on disk after a power failure, in any order, and in part; until the directory is synced, each creation,
 // rename and removal may have happened or not. Other faults are writes that find the disk full, an fsync that
-// returns an error, and disks that acknowledge an fsync and ignore it. All random choices follow from the seed that
-// Crash is given.
+// returns an error, and disks that acknowledge an fsync and ignore it. The seed passed to Crash determines all random
+// choices.
 package faultfs
 
 import (
@@ -25,7 +25,7 @@
 	ErrIO      = errors.New("faultfs: input/output error")
 )
 
-// FS is a directory. Its fields are set before it is used.
+// FS is a directory. Its exported fields must be set before its first use.
 type FS struct {
 	// PowerCutAt cuts the power during the operation with this number; 0: never. Operations are counted from 1; reads
 	// don't count.
@@ -37,7 +37,7 @@
 	// IgnoreSync makes all syncs succeed without any effect.
 	IgnoreSync bool
 
-	mu           sync.Mutex        // guards all that follows, and the content of all files
+	mu           sync.Mutex        // guards the fields below and the content of all files
 	files        map[string]*inode // what the running system sees
 	durableNames map[string]*inode // the directory as of its last sync
 	ops          int               // operations so far
@@ -49,7 +49,7 @@
 type inode struct {
 	current  []byte  // what the running system sees
 	durable  []byte  // as of the last sync
-	unsynced []write // since then
+	unsynced []write // writes and truncations since the last sync
 }
 
 // write is a write or a truncation that has not been synced.
@@ -68,7 +68,8 @@
 	return f.ops
 }
 
-// countOp counts an operation, and returns ErrPowerCut if the power is cut by it or was before. mu is held.
+// countOp counts an operation, and returns ErrPowerCut if the power is cut at this operation or was cut before. mu
+// is held.
 func (f *FS) countOp() error {
 	if f.poweredOff {
 		return ErrPowerCut
@@ -224,7 +225,7 @@
 	return slices.Compact(names)
 }
 
-// writeAt writes data into a file's content, and grows it if need be.
+// writeAt writes data into a file's content, and extends it as needed.
 func writeAt(to, data []byte, at int64) []byte {
 	if need := at + int64(len(data)); int64(len(to)) < need && len(data) > 0 {
 		to = append(to, make([]byte, need-int64(len(to)))...)
--- a/internal/daemon/store/faultfs/file.go
+++ b/internal/daemon/store/faultfs/file.go
@@ -34,7 +34,7 @@
 	f.fs.mu.Lock()
 	defer f.fs.mu.Unlock()
 	err := f.fs.countOp()
-	if errors.Is(err, ErrPowerCut) && f.fs.ops == f.fs.PowerCutAt { // this write may be on disk in part
+	if errors.Is(err, ErrPowerCut) && f.fs.ops == f.fs.PowerCutAt { // Crash may keep a part of this write
 		f.inode.unsynced = append(f.inode.unsynced, write{at, slices.Clone(p)})
 	}
 	if err != nil {
