--- a/internal/daemon/knowledge/datagram/datagram_test.go
+++ b/internal/daemon/knowledge/datagram/datagram_test.go
@@ -15,7 +15,7 @@
 	"sprucelane.example/sprucelane/internal/daemon/knowledge/pipe"
 )
 
-// state returns a state of n members of which the first are stalled.
+// state returns a state of n members, the first of which, as many as stalled says, are stalled.
 func state(n int, stalled int) (s pipe.State) {
 	for i := range n {
 		x := knowledge.Observation{Life: knowledge.Life{Instance: fmt.Sprintf("s-%d", i), StartedMs: int64(i)},
@@ -28,8 +28,8 @@
 	return s
 }
 
-// Encoding and decoding keep what fits of a snapshot, up to the precision of the scale, the most unhealthy members
-// first.
+// Encoding and decoding keep the members that fit into a snapshot, the most unhealthy first, up to the precision of the
+// scale.
 func TestSnapshotRoundTrip(t *testing.T) {
 	for _, n := range []int{0, 5, 14, 400} {
 		s := state(n, min(n, 2))
--- a/internal/daemon/knowledge/datagram/encoding.go
+++ b/internal/daemon/knowledge/datagram/encoding.go
@@ -1,6 +1,6 @@
 package datagram
 
-// This file has the datagrams and their encoding.
+// This file has the encoding of the datagrams.
 //
 // All start with kind and format version, one byte each. A request has nothing else. A snapshot continues with deaf
 // and blind (knowledge.Fact) of the sender, one byte each, and a record of 9 bytes per member, the most unhealthy
@@ -19,9 +19,7 @@
 	"sprucelane.example/sprucelane/internal/daemon/knowledge/pipe"
 )
 
-// A datagram begins with its kind, which no message of the decision module begins with, and the form that it is in. A
-// hello holds nothing else. A picture goes on with how long the teller has been deaf and blind, and a record for each
-// member, the worst first.
+// The kinds, the format version and the sizes in bytes. No message of package policy starts with one of the kinds.
 const (
 	kindRequest     = 0x70 // no other message between gateways starts with these kinds
 	kindSnapshot    = 0x71
@@ -31,12 +29,13 @@
 	maxDatagramSize = 256
 )
 
-// The logarithmic scale of one byte: 0 is less than the smallest number, 1 the smallest, and so many steps double it.
+// The logarithmic scale of one byte: 0 is less than the smallest number, 1 is the smallest, and stepsPerDoubling steps
+// double it.
 const (
 	stepsPerDoubling = 8
 	minDuration      = 10 * time.Millisecond // the smallest duration
 	minNumber        = 1.0 / 16              // the smallest other number
-	never            = 255                   // in place of the time since the last answer
+	never            = 255                   // the time since the last answer of a member that has never answered
 )
 
 // encodeLog encodes a multiple of the smallest number.
@@ -47,7 +46,7 @@
 	return byte(math.Min(never-1, 1+math.Round(stepsPerDoubling*math.Log2(x))))
 }
 
-// decodeLog decodes what encodeLog has encoded.
+// decodeLog decodes a number that encodeLog has encoded.
 func decodeLog(b byte) float64 {
 	if b == 0 {
 		return 0
@@ -58,7 +57,7 @@
 // encodeDuration encodes a duration on the logarithmic scale.
 func encodeDuration(d time.Duration) byte { return encodeLog(float64(d) / float64(minDuration)) }
 
-// decodeDuration decodes what encodeDuration has encoded.
+// decodeDuration decodes a duration that encodeDuration has encoded.
 func decodeDuration(b byte) time.Duration { return time.Duration(decodeLog(b) * float64(minDuration)) }
 
 // IsMessage reports whether a datagram is for this package, by its kind.
@@ -73,8 +72,8 @@
 	return h.Sum32()
 }
 
-// Encode returns the snapshot of a gateway's observations, as far as it fits: overdue members first, then those that it
-// knows best.
+// Encode returns the snapshot of a gateway's observations, as far as it fits: members with the most overdue attempts
+// first, and then those with the most answers.
 func Encode(state pipe.State) []byte {
 	m := append(make([]byte, 0, maxDatagramSize), kindSnapshot, formatVersion, encodeDuration(state.Deaf),
 		encodeDuration(state.Blind))
@@ -96,10 +95,11 @@
 	return m
 }
 
-// assumedAnswers is the number of answers that a record of a snapshot is taken to be based on.
+// assumedAnswers is the number of answers that a record of a snapshot is assumed to be based on.
 const assumedAnswers = 8
 
-// Decode returns the facts of a peer's snapshot on members that are listed here; ok is false if it is no snapshot.
+// Decode returns the facts of a peer's snapshot on members that are listed here; ok is false if m is not
+// a valid snapshot.
 func Decode(m []byte, from knowledge.Observer, seq uint64, listed []knowledge.Observation) (facts []knowledge.Fact,
 	ok bool) {
 	if len(m) < headerSize || len(m) > maxDatagramSize || m[0] != kindSnapshot || m[1] != formatVersion ||
--- a/internal/daemon/knowledge/datagram/exchange.go
+++ b/internal/daemon/knowledge/datagram/exchange.go
@@ -1,6 +1,6 @@
 package datagram
 
-// This file has when snapshots are requested, answered and used.
+// This file requests snapshots from peers, answers their requests, and applies the received snapshots.
 
 import (
 	"context"
@@ -18,10 +18,10 @@
 	1600 * time.Millisecond, 3 * time.Second}
 
 const (
-	learningPeriod    = 6 * time.Second        // since the start, in which snapshots are used
-	updateInterval    = 100 * time.Millisecond // between two updates of the priors in it
+	learningPeriod    = 6 * time.Second        // since the start; later snapshots are ignored
+	updateInterval    = 100 * time.Millisecond // between two updates of the priors in the learning period
 	minAnswerInterval = 80 * time.Millisecond  // between two answers to the same peer
-	minAnswerAge      = 10 * time.Second       // a gateway that has started more recently has little to report
+	minAnswerAge      = 10 * time.Second       // a gateway that has run for less has little to report
 )
 
 // Exchange is one gateway's part in the exchange. It is safe for concurrent use.
@@ -30,12 +30,12 @@
 	send      func(peer int, message []byte)
 	now       func() knowledge.Time
 	startedAt knowledge.Time
-	gateways  int // their number
-	self      int // this one's
+	gateways  int // number of gateways
+	self      int // number of this gateway
 
 	mu         sync.Mutex // guards the fields below
 	table      *knowledge.Table
-	listed     []knowledge.Observation // the latest of this gateway's own
+	listed     []knowledge.Observation // this gateway's latest
 	seq        uint64                  // of received snapshots
 	answeredAt []knowledge.Time        // when each peer was last answered; 0: never
 	learning   bool                    // within the learning period
@@ -44,15 +44,15 @@
 
 // Counts are the messages and priors of an exchange.
 type Counts struct {
-	Requests  uint64 // rounds of them
+	Requests  uint64 // rounds of requests
 	Answers   uint64 // sent
 	Received  uint64 // snapshots
 	Malformed uint64 // snapshots that were dropped
-	Priors    uint64 // given to the gateway
+	Priors    uint64 // passed to the gateway
 }
 
-// New returns the exchange of gateway number self of so many. send sends a datagram to a gateway by its number;
-// maxRoom is knowledge.Options.MaxRoom.
+// New returns the exchange of gateway number self; gateways is their total number. send sends a datagram to a
+// gateway by its number; maxRoom is knowledge.Options.MaxRoom.
 func New(gateway helper.PriorConsumer, send func(int, []byte), now func() knowledge.Time, self, gateways int,
 	maxRoom float64) *Exchange {
 	return &Exchange{gateway: gateway, send: send, now: now, startedAt: now(), gateways: gateways, self: self,
@@ -60,7 +60,7 @@
 		table: knowledge.New(knowledge.Options{Self: observer(self), MaxRoom: maxRoom})}
 }
 
-// observer returns a gateway as an observer. Its incarnation doesn't matter, as facts are only used after a start.
+// observer returns a gateway as an observer. Its incarnation is irrelevant, as facts are used only after a start.
 func observer(gateway int) knowledge.Observer {
 	return knowledge.Observer{Name: strconv.Itoa(gateway), Birth: 1}
 }
@@ -94,7 +94,7 @@
 	e.mu.Unlock()
 }
 
-// updatePriors gives the gateway the priors that follow from the facts so far.
+// updatePriors applies the priors that follow from the facts received so far.
 func (e *Exchange) updatePriors() {
 	state, at := e.gateway.Observe()
 	now := e.now()
@@ -106,7 +106,7 @@
 	e.gateway.ApplyPriors(priors, at)
 }
 
-// Receive takes a peer's datagram: it answers a request, and merges a snapshot during the learning period.
+// Receive handles a peer's datagram: it answers a request, and merges a snapshot during the learning period.
 func (e *Exchange) Receive(from int, m []byte) {
 	if from < 0 || from >= e.gateways || from == e.self || !IsMessage(m) {
 		return
--- a/internal/daemon/knowledge/fact.go
+++ b/internal/daemon/knowledge/fact.go
@@ -10,7 +10,7 @@
 // Life identifies an incarnation of a member.
 type Life struct {
 	Instance  string
-	StartedMs int64 // Unix time in ms, from service discovery; 0: long ago
+	StartedMs int64 // Unix time in ms, from service discovery; 0: it started long ago
 }
 
 // Observer identifies an incarnation of a gateway.
@@ -19,26 +19,26 @@
 	Birth uint64 // rises with each start
 }
 
-// Fact is what an observer has observed of a member. Durations are as of the observation.
+// Fact is an observer's observation of a member. Durations are as of the time of the observation.
 type Fact struct {
 	Life
 	Observer
 	Seq  uint64        // of the observer's incarnation; rises with each observation
-	Hops int           // gateways that have forwarded it; 0: received from the observer itself
+	Hops int           // gateways that have forwarded it; 0: the observer itself has sent it
 	Age  time.Duration // time since the observation
 
 	Stalled  time.Duration // age of the oldest attempt in flight, if no answer came since; 0: not stalled
 	Lost     int           // overdue attempts: in flight for far longer than is typical
-	Ejected  time.Duration // for how much longer the observer sends it nothing; 0: it is not ejected
+	Ejected  time.Duration // for how much longer the observer sends the member nothing; 0: not ejected
 	Pace     float64       // latency relative to what is typical of each class; 0: unknown
 	Answers  float64       // number of answers behind Pace
 	Answered time.Duration // time since its last answer; negative: it has never answered
-	Room     float64       // attempts of the observer's that it can hold; 0: unknown
-	Warmth   float64       // fraction of its capacity that it has at least, 0 to 1
+	Room     float64       // attempts from the observer that the member can hold; 0: unknown
+	Warmth   float64       // lower bound of the fraction of its capacity that it has, 0 to 1
 	Cold     int           // attempts that the observer sent it within the window of the slow-start limit
 
-	Deaf  time.Duration // time since the observer received an update of discovery
-	Blind time.Duration // time since any member has answered the observer
+	Deaf  time.Duration // time since the observer last received an update from service discovery
+	Blind time.Duration // time since any member last answered the observer
 }
 
 // Served reports whether the member has ever answered the observer.
@@ -66,20 +66,20 @@
 	return f.Age >= 0 && f.Hops >= 0 && f.Warmth <= 1
 }
 
-// numbers returns the numbers of a fact, to check them and for a total order.
+// numbers returns the numbers of a fact, for the check of their bounds and for a total order of facts.
 func (f *Fact) numbers() []float64 {
 	return []float64{f.Pace, f.Answers, f.Room, f.Warmth, float64(f.Lost), float64(f.Cold), f.Stalled.Seconds(),
 		f.Ejected.Seconds(), f.Deaf.Seconds(), f.Blind.Seconds(), max(0, f.Answered.Seconds())}
 }
 
-// DropReason is why a fact was dropped, or that it was not.
+// DropReason is the reason why a received fact was dropped, or Accepted.
 type DropReason uint8
 
-// The reasons.
+// The outcomes of receiving a fact.
 const (
 	Accepted         DropReason = iota
-	Stale                       // not newer than the fact that is held
-	OwnFact                     // this gateway's own
+	Stale                       // not newer than the observer's fact in the table
+	OwnFact                     // an observation of this gateway itself
 	UnknownMember               // the member is not listed here
 	OtherIncarnation            // the member is listed in another incarnation
 	Malformed                   // not a number, negative, out of bounds or without a name
--- a/internal/daemon/knowledge/helper/gateway.go
+++ b/internal/daemon/knowledge/helper/gateway.go
@@ -15,13 +15,13 @@
 // Prior is a prior estimate of a member.
 type Prior = knowledge.Prior
 
-// Snapshot has the members as of an observation, by incarnation.
+// Snapshot has the members at the time of an observation, by incarnation.
 type Snapshot map[knowledge.Life]observedServer
 
-// observedServer is a member as of an observation.
+// observedServer is a member at the time of an observation.
 type observedServer struct {
 	id          policy.ServerID
-	servedTotal int // answers of its, ever
+	servedTotal int // as in policy.Observation
 }
 
 // Gateway implements PriorConsumer for a gateway's core. It translates between the core's server IDs and the
@@ -32,11 +32,12 @@
 }
 
 const (
-	initialRoom = 4.0 // attempts that a gateway takes a member to hold when it knows nothing of it
-	roomFactor  = 4.0 // by which reports of peers may raise that
+	initialRoom = 4.0 // attempts that a gateway assumes a member can hold when it knows nothing of it
+	roomFactor  = 4.0 // factor by which reports of peers may raise initialRoom
 )
 
-// MaxRoom returns the highest room, in attempts, that peers' reports may give a member at one of so many gateways.
+// MaxRoom returns the highest room, in attempts, that peers' reports may give a member at one gateway, by the
+// number of gateways.
 func MaxRoom(gateways int) float64 { return roomFactor * initialRoom / float64(max(gateways, 1)) }
 
 // Observe implements PriorConsumer.
@@ -47,7 +48,7 @@
 		answered, waiting := core.Time(0), time.Duration(0)
 		for _, o := range seen {
 			incarnation, ok := incarnations[o.ID]
-			if !ok || startTime(incarnation.StartedMs) != o.StartedAt { // it was listed after Incarnations returned
+			if !ok || startTime(incarnation.StartedMs) != o.StartedAt { // the member was listed after Incarnations returned
 				continue
 			}
 			life := knowledge.Life(incarnation)
@@ -61,7 +62,7 @@
 			state.Own = append(state.Own, s)
 			answered, waiting = max(answered, o.LastServed), max(waiting, o.NoResponseFor)
 		}
-		// A gateway without traffic receives no answers, and is not blind for that.
+		// A gateway without traffic receives no answers, which doesn't make it blind.
 		state.Blind = min(waiting, now-answered)
 		return nil
 	})
--- a/internal/daemon/knowledge/helper/helper.go
+++ b/internal/daemon/knowledge/helper/helper.go
@@ -1,6 +1,6 @@
 package helper
 
-// This file has the life of the child process and the conversation with it.
+// This file runs the child process and exchanges messages with it.
 
 import (
 	"context"
@@ -30,9 +30,9 @@
 }
 
 const (
-	stateInterval = 250 * time.Millisecond // between two states
-	answerTimeout = 5 * time.Second        // for the update that answers a state; the child is killed then
-	exitTimeout   = time.Second            // for the child to exit once its input is closed; it is killed then
+	stateInterval = 250 * time.Millisecond // between two states that are sent
+	answerTimeout = 5 * time.Second        // until the update that answers a state; then the child is killed
+	exitTimeout   = time.Second            // for the child to exit once its input is closed; then it is killed
 	minBackoff    = 500 * time.Millisecond // before a restart of the child
 	maxBackoff    = 30 * time.Second       // likewise; a child that has run for longer resets the backoff
 )
@@ -51,15 +51,15 @@
 	mu         sync.Mutex // guards the fields below
 	lastUpdate pipe.Update
 	starts     uint64 // of the child
-	latePriors uint64 // priors for members that had answered meanwhile
+	latePriors uint64 // priors that ApplyPriors dropped as late
 }
 
-// PriorConsumer is the gateway.
+// PriorConsumer is the gateway, which supplies observations and applies priors.
 type PriorConsumer interface {
-	// Observe returns what the gateway observes, and a snapshot of it that ApplyPriors compares with.
+	// Observe returns the gateway's observations, and a snapshot of the members that ApplyPriors compares with.
 	Observe() (pipe.State, Snapshot)
-	// ApplyPriors applies priors that follow from the observation that the snapshot is of. It returns how many came too
-	// late, because the member has answered since.
+	// ApplyPriors applies the priors that follow from the observation at which the snapshot was taken. It returns how
+	// many it dropped as late, because the member has answered since, or is no longer listed.
 	ApplyPriors(priors []Prior, at Snapshot) (late int)
 }
 
@@ -77,8 +77,8 @@
 	h.done.Wait()
 }
 
-// AwaitInitialSync waits until all peers have sent their snapshots, or it is known that they won't, but no longer
-// than the given time.
+// AwaitInitialSync waits until each peer has sent its snapshot or failed once, or the child has failed, but no
+// longer than the timeout.
 func (h *Helper) AwaitInitialSync(timeout time.Duration) {
 	timer := time.NewTimer(timeout)
 	defer timer.Stop()
@@ -100,7 +100,7 @@
 			return
 		}
 		slog.Warn("link_program_ended", "program", h.program, "err", err)
-		h.syncOnce.Do(func() { close(h.initialSync) }) // the gateway's start needn't wait for a child that fails
+		h.syncOnce.Do(func() { close(h.initialSync) }) // the gateway's start doesn't wait for a child that has failed
 		if time.Since(began) > maxBackoff {
 			backoff = minBackoff
 		}
@@ -113,7 +113,7 @@
 	}
 }
 
-// runChild runs one child process until it, the conversation with it, or ctx ends.
+// runChild runs one child process until the process, the exchange with it, or ctx ends.
 func (h *Helper) runChild(ctx context.Context) error {
 	cmd := exec.Command(h.program, "exchange")
 	cmd.Stderr = os.Stderr
@@ -129,12 +129,12 @@
 	if err := cmd.Start(); err != nil {
 		return err
 	}
-	slow := time.AfterFunc(answerTimeout, func() { cmd.Process.Kill() })
-	err = h.exchange(ctx, pipe.New(out, in), slow)
-	slow.Stop()
+	answerTimer := time.AfterFunc(answerTimeout, func() { cmd.Process.Kill() })
+	err = h.exchange(ctx, pipe.New(out, in), answerTimer)
+	answerTimer.Stop()
 	in.Close() // the child exits at the end of its input
-	hung := time.AfterFunc(exitTimeout, func() { cmd.Process.Kill() })
-	defer hung.Stop()
+	exitTimer := time.AfterFunc(exitTimeout, func() { cmd.Process.Kill() })
+	defer exitTimer.Stop()
 	io.Copy(io.Discard, out)
 	if exit := cmd.Wait(); exit != nil && err == nil {
 		err = exit
@@ -142,9 +142,9 @@
 	return err
 }
 
-// exchange sends the child states and applies its updates, until either ends. It resets the timer slow with each
-// state and stops it with each update; the timer kills the child.
-func (h *Helper) exchange(ctx context.Context, conn *pipe.Conn, slow *time.Timer) error {
+// exchange sends states to the child and applies its updates, until the connection or ctx ends. It resets answerTimer
+// with each state and stops it with each update; the timer kills the child.
+func (h *Helper) exchange(ctx context.Context, conn *pipe.Conn, answerTimer *time.Timer) error {
 	if err := conn.Send(h.hello); err != nil {
 		return err
 	}
@@ -169,7 +169,7 @@
 	state, at := h.gateway.Observe()
 	for due := true; ; {
 		if due {
-			slow.Reset(answerTimeout)
+			answerTimer.Reset(answerTimeout)
 			if err := conn.Send(state); err != nil {
 				return err
 			}
@@ -177,7 +177,7 @@
 		}
 		select {
 		case u := <-updates:
-			slow.Stop()
+			answerTimer.Stop()
 			late := h.gateway.ApplyPriors(u.Priors, at)
 			h.mu.Lock()
 			h.lastUpdate, h.latePriors = u, h.latePriors+uint64(late)
@@ -189,7 +189,7 @@
 			state, at = h.gateway.Observe()
 			due = true
 		case err := <-failed:
-			return fmt.Errorf("it says nothing more: %w", err)
+			return fmt.Errorf("no further update from the child: %w", err)
 		case <-ctx.Done():
 			return nil
 		}
--- a/internal/daemon/knowledge/helper/helper_test.go
+++ b/internal/daemon/knowledge/helper/helper_test.go
@@ -19,7 +19,7 @@
 	"sprucelane.example/sprucelane/policy"
 )
 
-// The test binary is also a fake of the helper program. How it behaves follows from the name in Hello.
+// The test binary is also a fake of the helper program. The name in Hello determines how it behaves.
 func TestMain(m *testing.M) {
 	if len(os.Args) > 1 && os.Args[1] == "exchange" {
 		childMain()
@@ -104,7 +104,8 @@
 	assert.Contains(t, fmt.Sprint(h.Counters()), "facts=1")
 }
 
-// A child that fails leads to no priors, is restarted, and doesn't delay the start; a silent one can be closed.
+// A child that fails leads to no priors, is restarted, and doesn't delay the start; a child that doesn't answer can
+// be closed.
 func TestFailingChildren(t *testing.T) {
 	for _, name := range []string{"garbage", "dies", "missing"} {
 		program := os.Args[0]
@@ -123,7 +124,7 @@
 	}
 	h := open(t, os.Args[0], "silent", &fakeGateway{})
 	h.AwaitInitialSync(time.Millisecond)
-	h.Close() // returns although the child is silent
+	h.Close() // returns although the child doesn't answer
 }
 
 // A gateway reports observations by incarnation, and applies priors only for members that haven't answered since.
--- a/internal/daemon/knowledge/link/client.go
+++ b/internal/daemon/knowledge/link/client.go
@@ -1,6 +1,6 @@
 package link
 
-// This file has the side of a call that receives knowledge.
+// This file has the receiving side of a call.
 
 import (
 	"cmp"
@@ -31,7 +31,7 @@
 		grpc.WithKeepaliveParams(keepalive.ClientParameters{Time: keepaliveInterval, Timeout: sendTimeout}))
 }
 
-// watchPeer calls a peer again and again until the exchange ends.
+// watchPeer calls a peer, and repeats the call with backoff, until the exchange ends.
 func (e *Exchange) watchPeer(peer string) {
 	backoff, synced := minBackoff, sync.OnceFunc(e.peerSynced)
 	for e.ctx.Err() == nil {
@@ -68,8 +68,8 @@
 	}
 }
 
-// errReceiveTimeout is why a call was canceled that received nothing for receiveTimeout.
-var errReceiveTimeout = errors.New("the peer says nothing")
+// errReceiveTimeout is the cause of the cancellation of a call that received nothing for receiveTimeout.
+var errReceiveTimeout = errors.New("no message from the peer within the receive timeout")
 
 // watchOnce makes one call, and merges what it receives until it ends or times out. It calls synced after the snapshot.
 func (e *Exchange) watchOnce(peer string, synced func()) error {
@@ -102,22 +102,22 @@
 	}
 }
 
-// delayEstimator estimates how long the messages of one call were under way. Facts that were queued on the way would
-// be taken for fresh otherwise. The clocks are not compared: the fastest message of the call is taken to have had no
+// delayEstimator estimates the delay of each message of a call. Without it, facts that were queued on the way would
+// be taken for fresh ones. The clocks are not compared: the fastest message of the call is assumed to have had no
 // delay.
 type delayEstimator struct {
-	least time.Duration // smallest difference of the two elapsed times
-	known bool
+	minDifference time.Duration // smallest difference of the two elapsed times
+	known         bool
 }
 
-// delay returns the delay of a message that was received and sent so long after the start of the call, by the clock of
-// each side.
+// delay returns the delay of a message from the times after the start of the call at which it was received and sent,
+// each by the clock of its side.
 func (d *delayEstimator) delay(received, sent time.Duration) time.Duration {
 	difference := received - sent
-	if !d.known || difference < d.least {
-		d.least, d.known = difference, true
+	if !d.known || difference < d.minDifference {
+		d.minDifference, d.known = difference, true
 	}
-	return difference - d.least
+	return difference - d.minDifference
 }
 
 // receive merges the facts of a message.
@@ -145,7 +145,7 @@
 	}
 	p, err := call.Recv()
 	if err == nil && p.GetOldest() > Version {
-		err = fmt.Errorf("%s speaks version %d, for readers of %d and later: this program is %d",
+		err = fmt.Errorf("%s sends messages of version %d, for readers of version %d or later; this program has version %d",
 			addr, p.GetVersion(), p.GetOldest(), Version)
 	}
 	return p, err
--- a/internal/daemon/knowledge/link/convert.go
+++ b/internal/daemon/knowledge/link/convert.go
@@ -10,8 +10,9 @@
 	"sprucelane.example/sprucelane/internal/daemon/knowledge"
 )
 
-// Version is the version of the messages of this program, and oldestVersion the oldest reader that can use them. A
-// newer version may add fields, which older readers skip; one that they would misread raises oldestVersion.
+// Version is the version of the messages of this program, and oldestVersion that of the oldest reader that can use
+// them. A newer version may add fields, which older readers skip; a change that they would misread raises
+// oldestVersion.
 const (
 	Version       = 1
 	oldestVersion = 1
@@ -43,7 +44,7 @@
 	return w
 }
 
-// fromWire converts a fact of a message that was under way for a delay.
+// fromWire converts a fact of a message, and adds the delay of the message to the fact's age.
 func fromWire(w *pb.Fact, delay time.Duration) knowledge.Fact {
 	f := knowledge.Fact{Life: knowledge.Life{Instance: w.GetInstance(), StartedMs: w.GetStartedMs()},
 		Observer: knowledge.Observer{Name: w.GetObserver(), Birth: w.GetObserverLife()}, Seq: w.GetSeq(),
@@ -62,12 +63,12 @@
 	return f
 }
 
-// FromWire converts the facts of a message that was under way for a delay.
+// FromWire converts the facts of a message, and adds the delay of the message to their ages.
 func FromWire(p *pb.Picture, delay time.Duration) []knowledge.Fact {
 	list := make([]knowledge.Fact, 0, len(p.GetFacts()))
 	for _, w := range p.GetFacts() {
 		f := fromWire(w, delay)
-		if f.Observer.Name == p.GetTeller() { // the sender knows best how long it has been deaf and blind itself
+		if f.Observer.Name == p.GetTeller() { // the sender itself knows best how long it has been deaf and blind
 			f.Deaf = max(f.Deaf, fromMilliseconds(p.GetDeafMs()))
 			f.Blind = max(f.Blind, fromMilliseconds(p.GetBlindMs())-f.Age)
 		}
--- a/internal/daemon/knowledge/link/link.go
+++ b/internal/daemon/knowledge/link/link.go
@@ -1,6 +1,6 @@
 package link
 
-// This file has an exchange's life, and its counters.
+// This file opens and closes an exchange, and has its counters.
 
 import (
 	"context"
@@ -23,11 +23,11 @@
 const (
 	maxMessageSize    = 4 << 20                // of a snapshot, in bytes
 	maxRequestSize    = 1 << 12                // of a request, in bytes
-	maxCalls          = 32                     // of peers at once
+	maxCalls          = 32                     // of peers, at the same time
 	updateInterval    = 250 * time.Millisecond // between two messages of a call
 	heartbeatInterval = time.Second            // a message is sent this often, even if it has no facts
-	receiveTimeout    = 4 * heartbeatInterval  // a call that receives nothing for so long is ended
-	sendTimeout       = 5 * time.Second        // for a reader to take a message
+	receiveTimeout    = 4 * heartbeatInterval  // a call that receives nothing for this long is ended
+	sendTimeout       = 5 * time.Second        // until a reader has received a message
 	keepaliveInterval = 10 * time.Second       // of idle connections
 	minBackoff        = 100 * time.Millisecond // before a call is repeated
 	maxBackoff        = 5 * time.Second        // likewise; a call that has lasted for longer resets the backoff
@@ -66,8 +66,8 @@
 	blind         time.Duration
 	unsyncedPeers int // peers that have neither sent a snapshot nor failed yet
 
-	priors     uint64 // given
-	suspect    uint64 // those of them that are of suspects
+	priors     uint64 // returned
+	suspect    uint64 // returned priors that are of suspects
 	messages   uint64 // received
 	rejected   uint64 // messages of another version, or out of bounds
 	callErrors uint64 // calls that ended
@@ -98,7 +98,7 @@
 	return e, nil
 }
 
-// Addr returns the address that the exchange listens on; empty: it doesn't.
+// Addr returns the address that the exchange listens on; empty: it doesn't listen.
 func (e *Exchange) Addr() string {
 	if e.listener == nil {
 		return ""
@@ -128,14 +128,14 @@
 	return e.countPriors(e.table.Update(now, own, deaf, blind))
 }
 
-// Priors returns the priors that follow from what was received since the last Update.
+// Priors returns the priors that follow from the facts received so far and the observations of the last Update.
 func (e *Exchange) Priors() []knowledge.Prior {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.countPriors(e.table.Priors(e.opt.Now(), e.observations))
 }
 
-// countPriors counts priors that are returned. mu is held.
+// countPriors counts the priors and returns them. mu is held.
 func (e *Exchange) countPriors(list []knowledge.Prior) []knowledge.Prior {
 	e.priors += uint64(len(list))
 	for _, p := range list {
--- a/internal/daemon/knowledge/link/link_test.go
+++ b/internal/daemon/knowledge/link/link_test.go
@@ -29,7 +29,7 @@
 // now is the clock of all exchanges.
 func now() knowledge.Time { return time.Hour + time.Since(origin) }
 
-// unseen returns observations of members that the gateway has sent nothing.
+// unseen returns observations of members to which the gateway has sent nothing.
 func unseen() []knowledge.Observation {
 	var list []knowledge.Observation
 	for _, id := range []string{"a", "b", "c", "d", "e"} {
@@ -181,7 +181,7 @@
 	assert.Equal(t, 9*time.Second, link.FromWire(broken, 0)[0].Deaf)
 }
 
-// A peer that accepts the connection, sends one byte and hangs delays nothing for longer than the timeout, and doesn't
+// A peer that accepts the connection, sends one byte and hangs causes no delay longer than the timeout, and doesn't
 // affect the other peers.
 func TestPeerStallsAfterOneByte(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/daemon/knowledge/link/server.go
+++ b/internal/daemon/knowledge/link/server.go
@@ -1,6 +1,6 @@
 package link
 
-// This file has the side of a call that sends knowledge.
+// This file has the sending side of a call.
 
 import (
 	"time"
@@ -25,7 +25,7 @@
 	return grpc.NewServer(options...)
 }
 
-// Watch implements the service Knowledge: it sends a snapshot of the table, and then what changes.
+// Watch implements the service Knowledge: it sends a snapshot of the table, and then its changes.
 func (e *Exchange) Watch(req *pb.WatchRequest, to grpc.ServerStreamingServer[pb.Picture]) error {
 	select {
 	case e.callSlots <- struct{}{}:
@@ -70,7 +70,7 @@
 	}
 }
 
-// send sends a message, unless the reader doesn't take it within sendTimeout.
+// send sends a message, and fails if the reader doesn't receive it within sendTimeout.
 func (e *Exchange) send(to grpc.ServerStreamingServer[pb.Picture], p *pb.Picture) error {
 	sent := make(chan error, 1)
 	go func() { sent <- to.Send(p) }()
@@ -80,7 +80,7 @@
 	case err := <-sent:
 		return err
 	case <-timer.C:
-		return status.Error(codes.DeadlineExceeded, "the reader takes nothing") // which also ends Send
+		return status.Error(codes.DeadlineExceeded, "the reader takes nothing") // the end of the call also ends Send
 	case <-e.ctx.Done():
 		return status.Error(codes.Unavailable, "this gateway ends")
 	}
--- a/internal/daemon/knowledge/observe.go
+++ b/internal/daemon/knowledge/observe.go
@@ -1,13 +1,13 @@
 package knowledge
 
-// This file has this gateway's own observations, which become facts for its peers.
+// This file handles this gateway's own observations, which become facts for its peers.
 
 import (
 	"math"
 	"time"
 )
 
-// Observation is what this gateway itself has observed of a listed member. The fields are those of Fact.
+// Observation is this gateway's own observation of a listed member. The fields are those of Fact.
 type Observation struct {
 	Life
 	Stalled, Ejected time.Duration
@@ -18,19 +18,19 @@
 	Cold             int
 }
 
-// refreshInterval is how soon an unchanged observation is reported again if it expires fast. It is well within the
-// half-life of stalls.
+// refreshInterval is the time after which an unchanged observation that loses its weight fast is reported again. It is
+// well below the half-life of stalls.
 const refreshInterval = time.Second
 
 // Observe stores this gateway's own observations, as facts for its peers. deaf and blind are as in Fact. An observation
-// that differs little from the last one is stored only after a while.
+// that differs little from the last one is stored only after an interval (see changed).
 func (t *Table) Observe(now Time, list []Observation, deaf, blind time.Duration) {
 	for _, o := range list {
 		if !t.isListed(o.Life) {
 			continue
 		}
 		if o.Lost > 0 {
-			t.lost[o.Life] = now
+			t.lastOverdue[o.Life] = now
 		}
 		f := Fact{Life: o.Life, Observer: t.options.Self, Stalled: o.Stalled, Lost: o.Lost, Ejected: o.Ejected,
 			Warmth: o.Warmth, Cold: o.Cold, Answered: -1, Deaf: deaf, Blind: blind}
@@ -52,7 +52,7 @@
 	}
 }
 
-// changed reports whether an observation is to be reported in place of the last one.
+// changed reports whether an observation is stored in place of the last one.
 func (t *Table) changed(now Time, old *record, f *Fact) bool {
 	unremarkable := f.Lost == 0 && f.Ejected == 0 && f.Cold == 0
 	switch since := now - old.observedAt; {
@@ -60,7 +60,7 @@
 		return true
 	case !unremarkable:
 		return since >= refreshInterval
-	default: // latencies are valid for minutes, so that hundreds of healthy members cost next to nothing
+	default: // latencies are valid for minutes, so reports on hundreds of healthy members can be rare and cheap
 		answered := f.Answered < since
 		slowerOrFaster := math.Abs(f.Pace-old.Pace) > 0.25*math.Max(old.Pace, 0.1)
 		return since >= 4*refreshInterval && answered || slowerOrFaster && since >= refreshInterval
--- a/internal/daemon/knowledge/options.go
+++ b/internal/daemon/knowledge/options.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// Options are the constants of a Table. A zero value is replaced by the default.
+// Options are the parameters of a Table. A zero value is replaced by the default.
 type Options struct {
 	Self Observer // this gateway
 
-	// How long a fact's parts count, as half-lives. A stalled member hangs for 8 to 25 s, so reports on stalls are
-	// news of seconds (4 s). Latency and room follow the machine and what else runs on it, for minutes (1 min).
-	// Attempts at a warming member count for the window of the slow-start limit (0.5 s).
+	// Half-lives of the weight of a fact's parts. A stalled member hangs for 8 to 25 s, so a report on a stall is valid
+	// for seconds (default 4 s). Latency and room depend on the machine and its other load, and stay valid for minutes
+	// (default 1 min). Attempts sent to a warming member count for the window of the slow-start limit (default 0.5 s).
 	StallHalfLife, PaceHalfLife, ColdHalfLife time.Duration
 	// DeafHalfLife is the half-life of trust in an observer by the time since it last received an update of discovery.
 	// Default: 30 s.
@@ -29,23 +29,24 @@
 
 	// MaxSuspectShare is the fraction of the members that may be suspects. Default: 1/3.
 	MaxSuspectShare float64
-	// FaultyShare is the fraction of members found unhealthy from which on an observer is taken to be at fault itself.
+	// FaultyShare is the fraction of members found unhealthy from which on an observer is assumed to be faulty itself.
 	// Default: 1/2.
 	FaultyShare float64
-	// OwnEvidenceTTL is how long an answer or a loss of this gateway's own overrules the peers. Default: 10 s.
+	// OwnEvidenceTTL is how long an answer that this gateway received, or an overdue attempt of its own, overrules
+	// the peers. Default: 10 s.
 	OwnEvidenceTTL time.Duration
 	// MaxRoom is the highest room that a prior may have, in attempts. Default: 16.
 	MaxRoom float64
-	// PriorEchoTime is how long after a prior was given this gateway reports no latency of the member, as its estimate
-	// contains the peers' reports until then. Default: 15 s.
+	// PriorEchoTime is how long after a prior was given this gateway reports no latency and room of the member: until
+	// then its estimate contains the peers' reports. Default: 15 s.
 	PriorEchoTime time.Duration
 }
 
 // setDefault sets x unless it is positive.
-func setDefault[T cmp.Ordered](x *T, standard T) {
+func setDefault[T cmp.Ordered](x *T, value T) {
 	var zero T
 	if *x <= zero {
-		*x = standard
+		*x = value
 	}
 }
 
--- a/internal/daemon/knowledge/pipe/pipe.go
+++ b/internal/daemon/knowledge/pipe/pipe.go
@@ -3,8 +3,8 @@
 // gateway that exchanges no knowledge links neither gRPC nor its memory.
 //
 // The gateway sends a Hello and then States; the helper answers each State with an Update. Both programs are built
-// together, so the messages have no versions. But gob matches fields by name, and drops what it doesn't find without an
-// error: fields of these types, and of the types of package knowledge in them, keep their names.
+// together, so the messages have no versions. But gob matches fields by name, and drops fields that it doesn't find
+// without an error: fields of these types, and of the types of package knowledge in them, keep their names.
 package pipe
 
 import (
@@ -18,24 +18,24 @@
 // Hello is the gateway's first message: the settings of the exchange. Package link describes them.
 type Hello struct {
 	Me                                    knowledge.Observer // this gateway
-	Listen                                string             // address for peers; empty: none
+	Listen                                string             // address that peers call; empty: none
 	Peers                                 []string           // addresses
 	Plain                                 bool               // no TLS
 	CertFile, KeyFile, CAFile, ServerName string             // of mutual TLS
 	SuspectShare, RoomMost                float64            // Options.MaxSuspectShare and Options.MaxRoom of the table
 }
 
-// State is what the gateway observes of all listed members. It is sent again and again while the gateway runs.
+// State is the gateway's observations of all listed members. The gateway sends it at intervals while it runs.
 type State struct {
 	Own         []knowledge.Observation
 	Deaf, Blind time.Duration // as in knowledge.Fact
 }
 
-// Update is the helper's answer to a State. One more is sent when all peers have sent their snapshots.
+// Update is the helper's answer to a State. One more is sent once each peer has sent its snapshot or failed.
 type Update struct {
 	Priors   []knowledge.Prior
 	Learnt   bool   // each peer has sent its snapshot, or failed once
-	Addr     string // where the helper listens
+	Addr     string // address that the helper listens on
 	Counters []Counter
 }
 
@@ -57,5 +57,5 @@
 // Send sends a message.
 func (c *Conn) Send(message any) error { return c.out.Encode(message) }
 
-// Receive receives a message into what the argument points to.
+// Receive receives a message into the value that the argument points to.
 func (c *Conn) Receive(message any) error { return c.in.Decode(message) }
--- a/internal/daemon/knowledge/priors.go
+++ b/internal/daemon/knowledge/priors.go
@@ -1,6 +1,6 @@
 package knowledge
 
-// This file has the derivation of priors from facts.
+// This file derives priors from facts.
 
 import (
 	"cmp"
@@ -9,35 +9,36 @@
 	"time"
 )
 
-// Prior is a prior estimate of a member, from what peers report.
+// Prior is a prior estimate of a member, derived from the reports of peers.
 type Prior struct {
 	Life
 	Pace    float64 // latency relative to what is typical; 1: typical
 	Weight  float64 // number of answers that the estimate counts for
-	Room    float64 // attempts that it can hold; 0: unknown
+	Room    float64 // attempts that the member can hold; 0: unknown
 	Cold    bool    // peers use its slow-start budget
-	Suspect bool    // it is probably stuck: peers have overdue attempts there
+	Suspect bool    // it is probably stuck: peers have overdue attempts at it
 }
 
 const (
-	suspectPace      = 12.0 // Pace of a suspect: as if its attempts took so many times as long as is typical
+	suspectPace      = 12.0 // Pace of a suspect: as if its latency were this multiple of the typical one
 	suspectWeight    = 6.0  // Weight of a suspect: it outlasts the first few answers
 	suspectThreshold = 0.5  // strength of the evidence that makes a suspect
-	maxPaceWeight    = 3.0  // highest Weight of a Pace that peers report: a few answers of one's own outweigh it
-	maxPace          = 3.0  // highest Pace that counts: a high latency alone is no stall
-	maxLostCounted   = 3    // overdue attempts that count at most
-	answerWeight     = 2.0  // a fresh answer counts as much as so many overdue attempts
+	maxPaceWeight    = 3.0  // highest Weight of a Pace that peers report: a few answers to this gateway outweigh it
+	maxPace          = 3.0  // highest Pace that counts: a high latency alone doesn't mean a stall
+	maxLostCounted   = 3    // highest number of overdue attempts that counts
+	answerWeight     = 2.0  // number of overdue attempts that a fresh answer counts as much as
 	answerHalfLife   = time.Second
-	minWeight        = 0.05 // facts that weigh less are ignored
+	minWeight        = 0.05 // facts with a lower weight are ignored
 )
 
-// decay returns the weight of something of this age with a half-life.
+// decay returns the weight of evidence of an age, with a half-life: 1 at age 0, and half as much after each half-life.
 func decay(age, half time.Duration) float64 { return math.Exp2(-age.Seconds() / half.Seconds()) }
 
-// trust returns how far to trust the observer of a fact: less the longer it has received no update of discovery.
+// trust returns the weight of a fact's observer, 0 to 1. It falls with the time since the observer last received an
+// update from service discovery.
 func (t *Table) trust(r *record) float64 { return decay(r.Deaf, t.options.DeafHalfLife) }
 
-// faultyObservers returns the observers that find so many members unhealthy that the fault is probably their own.
+// faultyObservers returns the observers that find so many members unhealthy that they are probably faulty themselves.
 func (t *Table) faultyObservers(now Time) map[string]bool {
 	type tally struct{ unhealthy, all int }
 	tallies := map[string]tally{}
@@ -67,7 +68,8 @@
 	return t.Priors(now, own)
 }
 
-// Priors returns priors for the members that this gateway has not itself seen answer, or hang, a short time ago.
+// Priors returns priors for the members that this gateway itself has not seen answer, or hang, within
+// OwnEvidenceTTL.
 func (t *Table) Priors(now Time, own []Observation) []Prior {
 	facts := map[Life][]*record{}
 	for k, r := range t.facts {
@@ -98,13 +100,15 @@
 	return list
 }
 
-// hasOwnEvidence reports whether this gateway has itself seen a member answer, or fail to, a short time ago.
+// hasOwnEvidence reports whether this gateway itself has seen a member answer, or had an overdue attempt at it,
+// within OwnEvidenceTTL.
 func (t *Table) hasOwnEvidence(now Time, o *Observation) bool {
-	lost, ever := t.lost[o.Life]
-	return ever && now-lost <= t.options.OwnEvidenceTTL || o.Answered >= 0 && o.Answered <= t.options.OwnEvidenceTTL
+	overdueAt, known := t.lastOverdue[o.Life]
+	return known && now-overdueAt <= t.options.OwnEvidenceTTL || o.Answered >= 0 && o.Answered <= t.options.OwnEvidenceTTL
 }
 
-// markSuspects turns the priors of the surest suspects into those of a suspect, of as many as the options allow.
+// markSuspects marks the priors of the suspects with the strongest evidence, as many as MaxSuspectShare allows, and
+// sets their estimates to those of a suspect.
 func (t *Table) markSuspects(list []Prior, suspects []suspect) {
 	slices.SortStableFunc(suspects, func(x, y suspect) int {
 		return cmp.Or(cmp.Compare(y.strength, x.strength), cmp.Compare(list[x.index].Instance, list[y.index].Instance))
@@ -116,16 +120,16 @@
 	}
 }
 
-// suspect is a prior that may become one of a suspect.
+// suspect is a candidate of markSuspects, with the strength of the evidence.
 type suspect struct {
 	index    int // in the list of priors
 	strength float64
 }
 
-// weigh combines the facts on a member: it returns its prior as far as it is no suspect, and how strong the evidence is
-// that it is one, 0 to 1.
+// weigh combines the facts on a member: it returns the prior that applies if the member is not marked as a suspect,
+// and the strength of the evidence that it is stuck, 0 to 1.
 func (t *Table) weigh(now Time, member Life, facts []*record, faulty map[string]bool) (p Prior, strength float64) {
-	// In a fixed order, as the sums depend on it in their last bits.
+	// The order is fixed, as the last bits of the sums depend on it.
 	slices.SortFunc(facts, func(x, y *record) int { return cmp.Compare(x.Observer.Name, y.Observer.Name) })
 	p = Prior{Life: member}
 	var unhealthy, healthy, pace, paceWeight, room, roomWeight float64
@@ -145,7 +149,7 @@
 			}
 		}
 		w := trust * decay(age, t.options.PaceHalfLife) * decay(r.Blind, t.options.BlindHalfLife)
-		// The latency and room that a member had while it was stalled tell nothing of it otherwise.
+		// The latency and room that a member had while it was stalled say nothing about it when it isn't stalled.
 		if n := w * math.Min(r.Answers, maxPaceWeight); r.Pace > 0 && !r.unhealthy() && n >= minWeight {
 			pace, paceWeight = pace+n*math.Min(r.Pace, maxPace), paceWeight+n
 			if r.Room > 0 {
--- a/internal/daemon/knowledge/priors_test.go
+++ b/internal/daemon/knowledge/priors_test.go
@@ -11,7 +11,7 @@
 
 // Members that a peer reports as stalled are suspects, for some seconds.
 func TestRecentStallsMakeSuspects(t *testing.T) {
-	b := blank("g2")
+	b := newTestTable("g2")
 	b.Receive(start, factsOf("g0", 3, 7))
 	priors := b.Priors(start, unseen(10))
 	assert.Len(t, priors, 10)
@@ -22,10 +22,10 @@
 	assert.Empty(t, suspects(b.Priors(start+20*second, unseen(10)))) // the reports are too old
 }
 
-// An observer that was partitioned for 30 s is not trusted: its facts are old, and what it finds since then is its
-// own fault.
+// An observer that was partitioned for 30 s is not trusted: its facts are old, and the losses it has reported
+// since then are caused by the partition.
 func TestPartitionedObserver(t *testing.T) {
-	b := blank("g2")
+	b := newTestTable("g2")
 	old := factsOf("g0", 3, 7)
 	for i := range old {
 		old[i].Age, old[i].Deaf = 30*second, 30*second
@@ -43,31 +43,31 @@
 
 // An observer with a bad network finds most members unhealthy. Its reports on stalls are ignored.
 func TestFaultyObserver(t *testing.T) {
-	b := blank("g2")
+	b := newTestTable("g2")
 	b.Receive(start, factsOf("g0", 0, 1, 2, 3, 4, 5, 6, 8))
 	assert.Empty(t, suspects(b.Priors(start, unseen(10))))
-	b = blank("g2")
-	b.Receive(start, factsOf("g0", 0, 1, 2, 3, 4)) // half of them: it is trusted, but not so many may be suspects
+	b = newTestTable("g2")
+	b.Receive(start, factsOf("g0", 0, 1, 2, 3, 4)) // half of them: it is trusted, but at most a third may be suspects
 	assert.Len(t, suspects(b.Priors(start, unseen(10))), 3)
 }
 
-// Of contradicting observers, overdue attempts are weighed against the age of the last answer.
+// If observers contradict each other, overdue attempts are weighed against the age of the last answer.
 func TestContradictingPeers(t *testing.T) {
-	b := blank("g2")
-	once := stalled("g0", 1, 3)
+	b := newTestTable("g2")
+	once := stalledFact("g0", 1, 3)
 	once.Lost = 1
-	b.Receive(start, []Fact{once, well("g1", 1, 3), well("g0", 2, 4)})
+	b.Receive(start, []Fact{once, healthyFact("g1", 1, 3), healthyFact("g0", 2, 4)})
 	assert.Empty(t, suspects(b.Priors(start, unseen(10))), "one overdue attempt against a fresh answer")
-	earlier := well("g1", 2, 3)
+	earlier := healthyFact("g1", 2, 3)
 	earlier.Answered = 5 * second
-	b.Receive(start, []Fact{stalled("g0", 3, 3), earlier})
+	b.Receive(start, []Fact{stalledFact("g0", 3, 3), earlier})
 	assert.Equal(t, []string{"m-03"}, suspects(b.Priors(start, unseen(10))),
 		"three overdue attempts against an old answer")
 }
 
 // The gateway's own evidence, an answer or an overdue attempt, overrules its peers for a while.
 func TestOwnObservationsComeFirst(t *testing.T) {
-	b := blank("g2")
+	b := newTestTable("g2")
 	b.Receive(start, factsOf("g0", 3, 7))
 	own := unseen(10)
 	own[3].Answered = second
@@ -78,13 +78,13 @@
 	assert.Equal(t, []string{"m-07"}, suspects(priors))
 	assert.Len(t, priors, 8)
 	own[3].Answered = 11 * second
-	b.Receive(start+11*second, []Fact{stalled("g0", 99, 3), well("g0", 100, 1)})
+	b.Receive(start+11*second, []Fact{stalledFact("g0", 99, 3), healthyFact("g0", 100, 1)})
 	assert.Contains(t, suspects(b.Priors(start+11*second, own)), "m-03")
 }
 
 // An estimate that a prior has changed is not reported as the gateway's own observation.
 func TestPriorsAreNotPropagated(t *testing.T) {
-	b := blank("g2")
+	b := newTestTable("g2")
 	b.Receive(start, factsOf("g0"))
 	require.Len(t, b.Priors(start, unseen(10)), 10)
 	own := unseen(10)
@@ -109,7 +109,7 @@
 // suspects, and all numbers are within the bounds that package policy accepts.
 func TestPriorsKeepTheirBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		b, now := blank("g9"), start
+		b, now := newTestTable("g9"), start
 		for range rapid.IntRange(1, 8).Draw(t, "steps") {
 			now += time.Duration(rapid.IntRange(0, 5000).Draw(t, "passes")) * time.Millisecond
 			n := rapid.IntRange(0, 10).Draw(t, "listed")
--- a/internal/daemon/knowledge/table.go
+++ b/internal/daemon/knowledge/table.go
@@ -8,15 +8,15 @@
 
 // Table holds the facts on the members that are listed. It is not safe for concurrent use.
 type Table struct {
-	options Options
-	listed  map[string]int64 // StartedMs of the listed members, by instance
-	facts   map[key]*record
-	factsOf map[string]int // number of facts by observer; no zeros
-	version uint64         // rises with each fact that is stored
-	seq     uint64         // of this gateway's last observation
-	priors  map[Life]Time  // when a prior was last given
-	lost    map[Life]Time  // when this gateway itself last had overdue attempts there
-	counts  Counts
+	options     Options
+	listed      map[string]int64 // StartedMs of the listed members, by instance
+	facts       map[key]*record
+	factsOf     map[string]int // number of facts by observer; no zeros
+	version     uint64         // rises with each fact that is stored
+	seq         uint64         // of this gateway's last observation
+	priors      map[Life]Time  // when Priors last returned a prior
+	lastOverdue map[Life]Time  // when this gateway itself last had overdue attempts at the member
+	counts      Counts
 }
 
 // record is a fact in the table.
@@ -36,7 +36,7 @@
 func New(opt Options) *Table {
 	opt.defaults()
 	return &Table{options: opt, listed: map[string]int64{}, facts: map[key]*record{}, factsOf: map[string]int{},
-		priors: map[Life]Time{}, lost: map[Life]Time{}}
+		priors: map[Life]Time{}, lastOverdue: map[Life]Time{}}
 }
 
 // SetMembers sets the listed members. Facts on others, and on other incarnations, are removed.
@@ -52,7 +52,7 @@
 	}
 	departed := func(m Life, _ Time) bool { return !t.isListed(m) }
 	maps.DeleteFunc(t.priors, departed)
-	maps.DeleteFunc(t.lost, departed)
+	maps.DeleteFunc(t.lastOverdue, departed)
 }
 
 // isListed reports whether a member is listed in this incarnation.
@@ -69,7 +69,8 @@
 	}
 }
 
-// Receive merges facts from peers. Each is checked by itself; one that is dropped is counted.
+// Receive merges facts from peers. Each fact is checked separately; Counts returns how many were
+// accepted, and dropped for each reason.
 func (t *Table) Receive(now Time, list []Fact) {
 	for i := range list {
 		t.counts[t.receive(now, list[i])]++
@@ -98,7 +99,7 @@
 	return t.store(now, f)
 }
 
-// store stores a fact unless a newer one of its observer is held.
+// store stores a fact unless the table has a newer one of its observer.
 func (t *Table) store(now Time, f Fact) DropReason {
 	k := key{f.Life, f.Observer.Name}
 	r := &record{Fact: f, observedAt: now - f.Age}
@@ -119,8 +120,8 @@
 }
 
 // newer reports whether a record supersedes another of the same observer. Copies of one observation that came over
-// different paths differ by the delays on the way, which make it look younger: of these the oldest is kept. The rest
-// only makes the order total.
+// different paths differ by the delays on the way, which make it look younger: the oldest of these copies is kept. The
+// other comparisons only make the order total.
 func (r *record) newer(o *record) bool {
 	if c := cmp.Or(cmp.Compare(r.Birth, o.Birth), cmp.Compare(r.Seq, o.Seq)); c != 0 {
 		return c > 0
@@ -129,10 +130,10 @@
 		slices.Compare(r.numbers(), o.numbers())) > 0
 }
 
-// FactsSince returns the facts to forward that were stored after a version, at most so many, the earliest first. It
-// also returns the version up to which they are, for the next call. From version 0 on they are a snapshot of the
-// table.
-func (t *Table) FactsSince(now Time, after uint64, most int) ([]Fact, uint64) {
+// FactsSince returns the facts to forward that were stored after a version, at most limit of them, the earliest first.
+// It also returns the version up to which it has returned them, to pass to the next call. After version 0 the facts
+// are a snapshot of the table.
+func (t *Table) FactsSince(now Time, after uint64, limit int) ([]Fact, uint64) {
 	var records []*record
 	for _, r := range t.facts {
 		if r.version > after && r.onwardHops(t.options.Self) <= t.options.MaxHops && now-r.observedAt <= t.options.MaxAge {
@@ -141,9 +142,9 @@
 	}
 	slices.SortFunc(records, func(x, y *record) int { return cmp.Compare(x.version, y.version) })
 	version := t.version
-	if len(records) > most {
-		records = records[:most]
-		version = records[most-1].version
+	if len(records) > limit {
+		records = records[:limit]
+		version = records[limit-1].version
 	}
 	list := make([]Fact, len(records))
 	for i, r := range records {
@@ -161,8 +162,8 @@
 	return r.Hops + 1
 }
 
-// Counts returns the number of received facts by what became of them.
+// Counts returns the number of received facts by DropReason.
 func (t *Table) Counts() Counts { return t.counts }
 
-// Size returns how many facts are held, and of how many observers.
+// Size returns the number of facts in the table, and the number of their observers.
 func (t *Table) Size() (facts, observers int) { return len(t.facts), len(t.factsOf) }
--- a/internal/daemon/knowledge/table_test.go
+++ b/internal/daemon/knowledge/table_test.go
@@ -16,7 +16,7 @@
 	start  = time.Hour
 )
 
-// memberList returns n members.
+// memberList returns n members, m-00 and so on.
 func memberList(n int) (list []Life) {
 	for i := range n {
 		list = append(list, Life{Instance: fmt.Sprintf("m-%02d", i)})
@@ -24,14 +24,14 @@
 	return list
 }
 
-// blank returns the table of a gateway that lists ten members and has no facts.
-func blank(me string) *Table {
+// newTestTable returns the table of a gateway that lists ten members and has no facts.
+func newTestTable(me string) *Table {
 	b := New(Options{Self: Observer{Name: me, Birth: 1}})
 	b.SetMembers(memberList(10))
 	return b
 }
 
-// unseen returns observations of members that the gateway has sent nothing.
+// unseen returns observations of n members to which the gateway has sent nothing.
 func unseen(n int) (list []Observation) {
 	for _, l := range memberList(n) {
 		list = append(list, Observation{Life: l, Answered: -1, Warmth: 1})
@@ -39,15 +39,15 @@
 	return list
 }
 
-// well returns the fact of a healthy member.
-func well(by string, seq uint64, member int) Fact {
-	return Fact{Life: memberList(member + 1)[member], Observer: Observer{Name: by, Birth: 1}, Seq: seq, Pace: 1, Answers: 8,
-		Room: 3, Warmth: 1, Answered: 50 * time.Millisecond}
+// healthyFact returns the fact of a healthy member.
+func healthyFact(by string, seq uint64, member int) Fact {
+	return Fact{Life: memberList(member + 1)[member], Observer: Observer{Name: by, Birth: 1}, Seq: seq, Pace: 1,
+		Answers: 8, Room: 3, Warmth: 1, Answered: 50 * time.Millisecond}
 }
 
-// stalled returns the fact of a stalled member.
-func stalled(by string, seq uint64, member int) Fact {
-	f := well(by, seq, member)
+// stalledFact returns the fact of a stalled member.
+func stalledFact(by string, seq uint64, member int) Fact {
+	f := healthyFact(by, seq, member)
 	f.Stalled, f.Lost, f.Answered, f.Pace = 3*second, 3, 4*second, 9
 	return f
 }
@@ -55,10 +55,10 @@
 // factsOf returns an observer's facts of ten members, of which some are stalled.
 func factsOf(by string, bad ...int) (list []Fact) {
 	for i := range 10 {
-		f := well(by, uint64(i+1), i)
+		f := healthyFact(by, uint64(i+1), i)
 		for _, b := range bad {
 			if b == i {
-				f = stalled(by, uint64(i+1), i)
+				f = stalledFact(by, uint64(i+1), i)
 			}
 		}
 		list = append(list, f)
@@ -78,14 +78,14 @@
 
 // Facts on another incarnation of a member are dropped, and removed when it restarts.
 func TestRestartedMember(t *testing.T) {
-	b := blank("g2")
+	b := newTestTable("g2")
 	list := memberList(10)
 	list[3].StartedMs = 77000 // restarted, whether or not at the same address
 	b.SetMembers(list)
 	b.Receive(start, factsOf("g0", 3, 7))
 	assert.Equal(t, []string{"m-07"}, suspects(b.Priors(start, unseen(10))))
 	assert.Equal(t, uint64(1), b.Counts()[OtherIncarnation])
-	list[7].StartedMs = 78000 // while its facts are held
+	list[7].StartedMs = 78000 // while the table has its facts
 	b.SetMembers(list)
 	assert.Empty(t, suspects(b.Priors(start, unseen(10))))
 	facts, _ := b.Size()
@@ -94,7 +94,7 @@
 
 // Facts on members that are not listed are dropped.
 func TestUnlistedMember(t *testing.T) {
-	b := blank("g2")
+	b := newTestTable("g2")
 	b.SetMembers(memberList(5)) // the others are draining or have departed
 	b.Receive(start, factsOf("g0"))
 	assert.Equal(t, uint64(5), b.Counts()[UnknownMember])
@@ -103,10 +103,10 @@
 	}
 }
 
-// Three gateways forward all facts to each other, with delays that no age accounts for. A fact that comes back is
+// Three gateways forward all facts to each other, with delays that the ages don't include. A fact that comes back is
 // still the same observation, and is not renewed.
 func TestFactsInACycle(t *testing.T) {
-	tables := []*Table{blank("g0"), blank("g1"), blank("g2")}
+	tables := []*Table{newTestTable("g0"), newTestTable("g1"), newTestTable("g2")}
 	seen := unseen(10)
 	seen[3].Lost, seen[3].Stalled = 2, 2*second
 	tables[0].Observe(start, seen, 0, 0) // once, and never again
@@ -132,7 +132,7 @@
 
 // Each kind of unusable fact is dropped for its reason.
 func TestMalformedFactsAreDropped(t *testing.T) {
-	b := blank("g2")
+	b := newTestTable("g2")
 	for reason, spoil := range map[DropReason]func(*Fact){
 		TooOld:           func(f *Fact) { f.Age = time.Hour },
 		TooManyHops:      func(f *Fact) { f.Hops = 9 },
@@ -140,7 +140,7 @@
 		UnknownMember:    func(f *Fact) { f.Instance = "x" },
 		OtherIncarnation: func(f *Fact) { f.StartedMs = 1 },
 	} {
-		f := well("g0", 1, 1)
+		f := healthyFact("g0", 1, 1)
 		spoil(&f)
 		assert.Equal(t, reason, b.receive(start, f), reason.String())
 	}
@@ -158,7 +158,7 @@
 		"blind":        func(f *Fact) { f.Blind = -second },
 		"stalled":      func(f *Fact) { f.Stalled = 1e9 * second },
 	} {
-		f := well("g0", 1, 1)
+		f := healthyFact("g0", 1, 1)
 		spoil(&f)
 		assert.Equal(t, Malformed, b.receive(start, f), name)
 	}
@@ -171,7 +171,7 @@
 	b := New(Options{Self: Observer{Name: "g2", Birth: 1}, MaxObservers: 4})
 	b.SetMembers(memberList(10))
 	for i := range 1000000 {
-		b.receive(start, well(fmt.Sprintf("g%d", 10+i%1000), uint64(i), i%10))
+		b.receive(start, healthyFact(fmt.Sprintf("g%d", 10+i%1000), uint64(i), i%10))
 	}
 	facts, observers := b.Size()
 	assert.LessOrEqual(t, facts, 40)
@@ -183,7 +183,7 @@
 
 // Fetched in parts, each fact is returned once, and after that only new ones.
 func TestFactsSinceInParts(t *testing.T) {
-	b := blank("g2")
+	b := newTestTable("g2")
 	b.Receive(start, factsOf("g0"))
 	b.Receive(start, factsOf("g1"))
 	seen, after := 0, uint64(0)
@@ -195,7 +195,7 @@
 		seen += len(list)
 	}
 	assert.Equal(t, 20, seen)
-	b.Receive(start, []Fact{well("g1", 99, 4)})
+	b.Receive(start, []Fact{healthyFact("g1", 99, 4)})
 	list, _ := b.FactsSince(start, after, 100)
 	assert.Len(t, list, 1)
 }
@@ -205,7 +205,7 @@
 func drawFacts(t *rapid.T) (list []Fact) {
 	for range rapid.IntRange(0, 30).Draw(t, "facts") {
 		birth, seq := uint64(rapid.IntRange(1, 2).Draw(t, "birth")), uint64(rapid.IntRange(1, 5).Draw(t, "seq"))
-		f := well(fmt.Sprintf("g%d", rapid.IntRange(0, 3).Draw(t, "by")), seq, rapid.IntRange(0, 11).Draw(t, "member"))
+		f := healthyFact(fmt.Sprintf("g%d", rapid.IntRange(0, 3).Draw(t, "by")), seq, rapid.IntRange(0, 11).Draw(t, "member"))
 		f.Birth, f.Lost = birth, int(seq+birth)%3
 		f.Stalled = time.Duration(f.Lost) * second
 		f.Hops = rapid.IntRange(0, 3).Draw(t, "hops")
@@ -220,7 +220,7 @@
 func TestReceiveIsASemilattice(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		list := drawFacts(t)
-		a, b := blank("g9"), blank("g9")
+		a, b := newTestTable("g9"), newTestTable("g9")
 		a.Receive(start, list)
 		shuffled := rapid.Permutation(list).Draw(t, "order")
 		cut := rapid.IntRange(0, len(list)).Draw(t, "cut")
