--- a/internal/daemon/store/store.go
+++ b/internal/daemon/store/store.go
@@ -86,7 +86,7 @@
 	ioMu           sync.Mutex
 	nextFileNumber uint64
 
-	// mu guards the fields below. It is not held during disk access, except by rotate and the functions it calls.
+	// mu guards the fields below. It is held while memory is changed, and not during disk access, except in rotate.
 	// The manifest and segmentFiles are changed only while ioMu is held too, so holding either lock suffices to read
 	// them.
 	mu           sync.RWMutex
