--- a/internal/daemon/front/control/server.go
+++ b/internal/daemon/front/control/server.go
@@ -17,17 +17,19 @@
 const (
 	callTimeout   = 10 * time.Second // for reading a call
 	writeTimeout  = time.Second      // for writing the answer
+	// lingerTimeout bounds the time for which unread input is discarded before the connection is closed.
 	lingerTimeout = 250 * time.Millisecond
 	maxHeadSize   = 8 << 10
 	maxBodySize   = 4 << 10
 )
 
-// methods has the method that each call takes, by path.
+// methods maps the path of each call to its HTTP method.
 var methods = map[string]string{"/ready": http.MethodGet, "/drain": http.MethodPost, "/undrain": http.MethodPost}
 
 // Server answers operators' calls.
 type Server struct {
-	// ReadyDetail returns what the answer to /ready has after the phase. It is set before Serve. nil: nothing.
+	// ReadyDetail returns the text that follows the phase in the answer to /ready. It must be set before Serve.
+	// If it is nil, the answer has only the phase.
 	ReadyDetail func() string
 
 	listener   net.Listener
@@ -36,15 +38,15 @@
 	maxCallers int
 	now        func() time.Time
 
-	mu       sync.Mutex        // guards what follows
-	conns    []net.Conn        // in the order of their arrival
+	mu       sync.Mutex        // guards the fields below
+	conns    []net.Conn        // open connections, oldest first
 	calls    map[string]uint64 // by path
 	rejected uint64
 	evicted  uint64
 }
 
-// Listen opens the address, for at most so many callers at once. ready reports whether there is anything to serve
-// with; it must not wait.
+// Listen opens a listening socket on addr. At most callers connections are open at once. ready reports whether the
+// gateway has anything to serve requests with; it must not block.
 func Listen(addr string, callers int, state *service.State, ready func() bool) (*Server, error) {
 	l, err := net.Listen("tcp", addr)
 	if err != nil {
@@ -67,8 +69,8 @@
 	}
 }
 
-// Stats counts the calls so far: by path, those that were rejected, and callers that were closed to make room for
-// others.
+// Stats has the number of calls so far by path, of rejected calls, and of connections that were closed to make room
+// for new ones.
 type Stats struct {
 	Ready, Drain, Undrain, Rejected, Evicted uint64
 }
@@ -87,7 +89,7 @@
 		if errors.Is(err, net.ErrClosed) {
 			return nil
 		}
-		if err != nil { // one connection failed, or there is no file descriptor for now
+		if err != nil { // a single connection failed, or no file descriptor is free at the moment
 			time.Sleep(10 * time.Millisecond)
 			continue
 		}
@@ -96,8 +98,8 @@
 	}
 }
 
-// addCaller adds a connection, in place of the oldest one if there are too many: a call takes a moment, so that one
-// is the least likely to be making a call.
+// addCaller adds a connection. At the maximum it closes the oldest connection first: a call is short, so the oldest
+// caller is the least likely to be in the middle of one.
 func (s *Server) addCaller(c net.Conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -122,8 +124,8 @@
 	}
 }
 
-// serve answers the call on a connection, with a lingering close, since closing a socket with unread input may
-// destroy the answer.
+// serve answers the call on a connection. After the answer it discards further input for a short time before it
+// closes the connection, because closing a socket with unread input may destroy the answer.
 func (s *Server) serve(c net.Conn) {
 	defer s.removeCaller(c)
 	c.SetDeadline(s.now().Add(callTimeout))
@@ -141,7 +143,8 @@
 	}
 }
 
-// handle reads one call completely, and only then performs it. Code 0 means that the caller has left.
+// handle reads one call completely and only then performs it. It returns the status code and text of the answer.
+// Code 0 means that the connection failed or was closed before the call was complete, and no answer is sent.
 func (s *Server) handle(c net.Conn) (code int, text string) {
 	limited := &io.LimitedReader{R: c, N: maxHeadSize + maxBodySize}
 	r, err := http.ReadRequest(bufio.NewReader(limited))
@@ -192,7 +195,7 @@
 	return http.StatusOK, phase
 }
 
-// reject counts a rejected call and returns its answer.
+// reject counts a rejected call and returns the status code and text of its answer.
 func (s *Server) reject(code int, text string) (int, string) {
 	s.mu.Lock()
 	s.rejected++
--- a/internal/daemon/front/control/server_test.go
+++ b/internal/daemon/front/control/server_test.go
@@ -35,7 +35,8 @@
 	return c
 }
 
-// call sends bytes and returns the status code of the answer, 0 if the connection ends without one, and its text.
+// call sends text on a new connection. It returns the status code and text of the answer, or code 0 if the connection
+// ends without an answer.
 func call(t *testing.T, s *Server, text string) (int, string) {
 	c := dial(t, s)
 	_, err := io.WriteString(c, text)
@@ -45,7 +46,7 @@
 	if err != nil {
 		return 0, ""
 	}
-	assert.True(t, resp.Close, "one call to a connection")
+	assert.True(t, resp.Close, "the connection must be closed after one call")
 	body, err := io.ReadAll(resp.Body)
 	require.NoError(t, err)
 	return resp.StatusCode, strings.TrimSpace(string(body))
@@ -83,7 +84,7 @@
 	assert.Equal(t, Stats{Ready: 4, Drain: 2, Undrain: 3}, s.Stats())
 }
 
-// What is not a complete call gets an error, or nothing if its caller has left, and changes nothing.
+// A malformed or incomplete call gets an error, or no answer if its caller has disconnected, and changes no state.
 func TestMalformedCalls(t *testing.T) {
 	s, state := open(t)
 	state.MarkStarted()
@@ -107,7 +108,8 @@
 	}
 }
 
-// Callers that hold connections with half a call don't keep others out, and get no answer.
+// Callers that hold connections open with incomplete calls don't block other callers. They get no answer, and their
+// calls take no effect.
 func TestIdleCallersAreEvicted(t *testing.T) {
 	s, state := open(t)
 	state.MarkStarted()
--- a/internal/daemon/front/introspect/bearer.go
+++ b/internal/daemon/front/introspect/bearer.go
@@ -13,17 +13,20 @@
 	"sprucelane.example/sprucelane/policy"
 )
 
-// denial is why a token that was checked doesn't suffice.
+// denial is the reason why a token with a valid introspection response doesn't authorize a request.
 type denial = int32
 
 const (
-	invalidToken denial = iota // inactive
+	// invalidToken: the token is inactive.
+	invalidToken denial = iota
+	// insufficientScope: the token lacks the scope of the request's class.
 	insufficientScope
+	// otherAccount: the token belongs to another customer.
 	otherAccount
 )
 
-// forward handles a request that presents a token. It is checked before the first attempt and again before each
-// further one.
+// forward handles a client's request. It checks the request's token before the first attempt and again before each
+// further attempt.
 func (f *Front) forward(w http.ResponseWriter, r *http.Request) {
 	arrived := f.Core.Now()
 	token, problem := bearerToken(r)
@@ -42,10 +45,10 @@
 	defer f.OpenRequests.Remove(r)
 	scope := f.Checker.conf.Scopes[settings.Classes[request.Class].Name]
 	var reason atomic.Int32
-	var asked atomic.Bool
+	var checked atomic.Bool
 	request.Authorize = func(until core.Time) (core.Verdict, time.Duration) {
 		who := request.Request
-		if asked.Swap(true) { // further checks of a request cost nothing
+		if checked.Swap(true) { // only the first check of a request is charged to the customer's quota
 			who.Units = 0
 		}
 		v, body, wait := f.Checker.introspect(r, settings.Generation, who, token, until)
@@ -82,7 +85,8 @@
 	}
 }
 
-// ownsAccount reports whether a token belongs to the request's customer, if the site names the claim that says so.
+// ownsAccount reports whether a token belongs to the request's customer, according to the claim that the site has
+// configured for accounts. It returns true if no claim is configured.
 func (f *Front) ownsAccount(info tokenInfo, customer policy.CustomerID) bool {
 	claim := f.Checker.conf.AccountClaim
 	if claim == "" {
@@ -93,9 +97,9 @@
 	return err == nil && policy.CustomerID(n) == customer
 }
 
-// bearerToken returns the token, which is accepted only in the Authorization header.
+// bearerToken returns a request's token, which is accepted only in the Authorization header.
 func bearerToken(r *http.Request) (string, *platform.RequestError) {
-	if r.URL.Query().Has("access_token") { // targets are logged on the way
+	if r.URL.Query().Has("access_token") { // rejected because intermediaries log request targets
 		return "", &platform.RequestError{Code: http.StatusBadRequest, Text: "invalid_request"}
 	}
 	values := r.Header.Values("Authorization")
@@ -115,14 +119,15 @@
 	return token, nil
 }
 
-// rejectToken answers a request without a readable token. If there was none at all the answer has no error code
-// (RFC 6750, section 3.1).
+// rejectToken answers a request whose token is missing or malformed. If errorCode is empty, because the request had no
+// token at all, the challenge has no error code (RFC 6750, section 3.1).
 func (f *Front) rejectToken(w http.ResponseWriter, code int, errorCode string) {
 	f.malformed.Add(1)
 	f.bearerError(w, code, errorCode, "", "")
 }
 
-// bearerError writes an error with a challenge (RFC 6750, section 3), which has a parameter if its name is not empty.
+// bearerError writes an error with a challenge (RFC 6750, section 3). The challenge has the error code and the
+// parameter key=value unless errorCode or key, respectively, is empty.
 func (f *Front) bearerError(w http.ResponseWriter, code int, errorCode, key, value string) {
 	text := `Bearer realm="` + f.Checker.conf.Realm + `"`
 	if errorCode != "" {
--- a/internal/daemon/front/introspect/checker.go
+++ b/internal/daemon/front/introspect/checker.go
@@ -19,18 +19,18 @@
 // responseMemory is the memory budget of responses that don't fit a read buffer, in bytes.
 const responseMemory = 1 << 20
 
-// Checker asks the introspection endpoints.
+// Checker checks tokens by requests to the introspection endpoints.
 type Checker struct {
 	core          *core.Core
 	pool          *pool.Pool
 	conf          config.Introspection
 	hostHeader    string
-	requestHeader []byte // header lines of each introspection request
+	requestHeader []byte // header lines that every introspection request has
 	gateways      int
 	zone          int
 }
 
-// tokenInfo is an introspection response, as far as it counts here.
+// tokenInfo has the parts of an introspection response that the front uses.
 type tokenInfo struct {
 	Active *bool    `json:"active"`
 	Exp    *float64 `json:"exp"` // seconds since 1970
@@ -39,8 +39,8 @@
 	claims map[string]any
 }
 
-// NewChecker returns a checker for a deployment. send passes messages on to other gateways, which share the quotas
-// of the checks; nil: each gateway has its own part of them.
+// NewChecker returns a checker for a deployment. send sends messages to other gateways, with which the quotas of the
+// checks are shared; if it is nil, each gateway enforces its own part of the quotas.
 func NewChecker(conf config.Introspection, d config.Deployment, sockets int, seed uint64, clock core.Clock,
 	send func(int, []byte)) (*Checker, error) {
 	options := pool.Options{MaxConnections: sockets, ResponseMemory: buffers.New(responseMemory), BufferResponses: true,
@@ -59,8 +59,9 @@
 	return k, nil
 }
 
-// Start lists the endpoints; nothing is asked before. state is what another process of this gateway exported of its
-// endpoints and quotas; nil: nothing.
+// Start passes the list of endpoints to the core; no introspection request is sent before. state is the state of
+// endpoints and quotas that another process of this gateway exported with ExportState, or nil if there is none. The
+// error is that of importing state; the endpoints are listed all the same.
 func (k *Checker) Start(state []byte) (err error) {
 	if state != nil {
 		err = k.core.ImportState(state)
@@ -75,7 +76,8 @@
 	return err
 }
 
-// settings returns the policy settings for the checks: the plans of the deployment, and a single class.
+// settings returns the policy settings for the checks: those of the deployment with a single class instead of its
+// classes.
 func (k *Checker) settings(d config.Deployment) policy.Settings {
 	set := d.Settings
 	set.Classes = []policy.Class{{Name: "introspection", LatencyTarget: k.conf.Timeout / 2, Deadline: k.conf.Timeout,
@@ -83,14 +85,14 @@
 	return set
 }
 
-// SetDeployment puts a deployment's plans in force for checks from now on, together with the gateway's own
-// settings.
+// SetDeployment applies a deployment's plans to checks from now on. It is called together with the change of the
+// gateway's own settings.
 func (k *Checker) SetDeployment(d config.Deployment, seed uint64) error {
 	_, err := k.core.Reconfigure(k.settings(d), seed)
 	return err
 }
 
-// ExportState returns what is known of endpoints and quotas, in at most maxSize bytes, for another process's Start.
+// ExportState returns the state of endpoints and quotas, in at most maxSize bytes, for another process's Start.
 func (k *Checker) ExportState(maxSize int) []byte { return k.core.ExportState(maxSize, nil) }
 
 // Close closes the connections to endpoints.
@@ -105,15 +107,15 @@
 // Counters returns the counts of the checks.
 func (k *Checker) Counters() core.Counts { return k.core.Counters() }
 
-// introspect asks about a token, and returns the response before the deadline. body is nil if there was no valid
-// response; then retryAfter is the time after which to ask again.
-func (k *Checker) introspect(r *http.Request, era int, request policy.Request, token string,
+// introspect requests the introspection of a token and returns the response, at the latest at the deadline. body is nil
+// if there was no valid response; retryAfter is then the time after which the client may try again.
+func (k *Checker) introspect(r *http.Request, generation int, request policy.Request, token string,
 	deadline core.Time) (info tokenInfo, body []byte, retryAfter time.Duration) {
 	request.Class = 0
 	request.Deadline = min(deadline, k.core.Now()+k.conf.Timeout)
 	message := &pool.Message{Method: http.MethodPost, Target: k.conf.Path, Host: k.hostHeader, Header: k.requestHeader,
 		Body: []byte("token=" + url.QueryEscape(token) + "&token_type_hint=access_token")}
-	answer := k.core.Serve(r.Context(), core.Request{Request: request, Generation: era, Message: message})
+	answer := k.core.Serve(r.Context(), core.Request{Request: request, Generation: generation, Message: message})
 	defer answer.Discard()
 	if answer.Kind != core.Served {
 		return info, nil, max(answer.RetryAfter, k.conf.Timeout)
@@ -123,7 +125,8 @@
 		slog.Warn("introspection_malformed", "bytes", len(answer.Body))
 		return tokenInfo{}, nil, k.conf.Timeout
 	}
-	now := k.core.Now().Seconds() // some endpoints leave the times to their clients
+	// Some endpoints leave the check of exp and nbf to their clients.
+	now := k.core.Now().Seconds()
 	if info.Exp != nil && now >= *info.Exp || info.Nbf != nil && now < *info.Nbf {
 		*info.Active = false
 	}
--- a/internal/daemon/front/introspect/doc.go
+++ b/internal/daemon/front/introspect/doc.go
@@ -2,9 +2,9 @@
 // Checker asks the authorization server's endpoints whether a request's token is active, before each attempt of the
 // request; as a server, a Front answers the introspection requests of the site's own tools.
 //
-// The checks are requests of a core of their own, whose servers are the endpoints: the same decision module admits
-// them, applies their customers' quotas, selects an endpoint and retries.
+// The checks run as requests through a separate core whose servers are the endpoints, so that the same decision module
+// admits them, applies the customers' quotas, selects an endpoint and retries.
 //
-// A result is not cached, so that a revoked token is rejected at once. No token is logged, and no request passes
-// without a check: if there is no valid result the request is not forwarded.
+// Results are not cached, so that a revoked token is rejected at once. Tokens are never logged. The front fails closed:
+// without a valid introspection response a request is not forwarded.
 package introspect
--- a/internal/daemon/front/introspect/front.go
+++ b/internal/daemon/front/introspect/front.go
@@ -10,18 +10,19 @@
 	"sprucelane.example/sprucelane/internal/daemon/front/platform"
 )
 
-// Front handles the requests of clients with bearer tokens, and of the site's tools.
+// Front handles requests of clients that authenticate with bearer tokens, and introspection requests of the site's
+// tools.
 type Front struct {
 	Core         *core.Core
 	Checker      *Checker
 	Settings     *platform.Settings
 	Ready        func() bool
 	OpenRequests *platform.OpenRequests
-	BodyMemory   *buffers.Budget // memory of request bodies; nil: no bound
+	BodyMemory   *buffers.Budget // memory budget of request bodies; nil: unlimited
 	malformed    atomic.Uint64
 }
 
-// Malformed counts the malformed requests so far.
+// Malformed returns the number of malformed requests so far.
 func (f *Front) Malformed() uint64 { return f.malformed.Load() }
 
 // ServeHTTP implements http.Handler.
@@ -36,7 +37,8 @@
 	}
 }
 
-// roundUpRetryAfter rounds up to whole seconds, as RFC 9110 (section 10.2.3) has no decimals in Retry-After.
+// roundUpRetryAfter rounds an answer's RetryAfter up to whole seconds, because RFC 9110 (section 10.2.3) allows no
+// decimals in Retry-After.
 func roundUpRetryAfter(a core.Answer) core.Answer {
 	a.RetryAfter = (a.RetryAfter + time.Second - 1).Truncate(time.Second)
 	return a
--- a/internal/daemon/front/introspect/front_test.go
+++ b/internal/daemon/front/introspect/front_test.go
@@ -40,7 +40,7 @@
 	main, checks func() string
 }
 
-// start puts a front before one server and one endpoint.
+// start starts a front with one server and one introspection endpoint.
 func start(t *testing.T, member, endpoint *fake.Peer, change func(*config.Introspection)) testFront {
 	d := fake.Deployment()
 	conf := config.Introspection{Endpoints: []string{endpoint.Addr}, Path: "/oauth/introspect", ClientID: "gate",
@@ -85,8 +85,8 @@
 	assert.Empty(t, member.Seen()[0].Header.Get("Authorization"))
 }
 
-// The endpoint stalls: every request has one answer, with a Retry-After, and none was executed. The check's timeout
-// ends the wait, or the client's deadline if that is earlier.
+// The endpoint stalls: every request gets exactly one answer, with a Retry-After, and none is executed. The wait ends
+// with the check's timeout or the client's deadline, whichever is earlier.
 func TestStalledEndpoint(t *testing.T) {
 	for _, c := range []struct {
 		timeout time.Duration
@@ -116,8 +116,8 @@
 	}
 }
 
-// Stalls, revocations, lost connections and servers that reject, all at once: each request has one answer, none was
-// executed twice, and none that the client was told had not been.
+// Endpoint stalls, revocations, lost connections and rejections by servers occur at the same time: each request gets
+// exactly one answer, no request is executed twice, and no request is executed whose answer says that it was not.
 func TestNoRequestRunsTwice(t *testing.T) {
 	var mu sync.Mutex
 	var asked, came int
@@ -186,7 +186,7 @@
 	assert.Contains(t, s.main(), fmt.Sprintf("taken=%d open=0 ", n))
 }
 
-// An endpoint behind TLS is asked only if its certificate is valid.
+// Introspection requests are sent to an endpoint behind TLS only if its certificate is valid.
 func TestEndpointBehindTLS(t *testing.T) {
 	as := httptest.NewTLSServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		fmt.Fprint(w, `{"active":true,"scope":"orders.write"}`)
@@ -210,8 +210,8 @@
 	}
 }
 
-// The endpoint stalls between an attempt and its retry: the request is rejected, as it was not executed, and not
-// retried.
+// The endpoint stalls between an attempt and its retry: the request is not retried, and is rejected because it was not
+// executed.
 func TestStallBeforeRetry(t *testing.T) {
 	member, endpoint := fake.New(t, fake.NotRun(), fake.OK("sent")), fake.New(t, active, fake.Stall(stallTime))
 	s := start(t, member, endpoint, func(c *config.Introspection) { c.Timeout = 1500 * time.Millisecond })
@@ -253,7 +253,7 @@
 	assert.Len(t, member.Seen(), 1)
 }
 
-// Nothing passes without a valid introspection response, and whatever goes wrong, no token is logged.
+// No request is forwarded without a valid introspection response, and no token is logged in any failure case.
 func TestFailsClosed(t *testing.T) {
 	lines := fake.Log(t)
 	for name, reply := range map[string]fake.Reply{"no JSON": fake.OK("yes"), "no active": fake.OK(`{"scope":"a"}`),
@@ -330,7 +330,7 @@
 	}
 }
 
-// Checks of a customer beyond its quota don't reach the endpoint either.
+// Checks for a customer that exceeds its quota are not sent to the endpoint.
 func TestChecksKeepQuotas(t *testing.T) {
 	member, endpoint := fake.New(t, fake.OK("sent")), fake.New(t, active)
 	s := start(t, member, endpoint, nil)
--- a/internal/daemon/front/introspect/tools.go
+++ b/internal/daemon/front/introspect/tools.go
@@ -15,7 +15,7 @@
 	"sprucelane.example/sprucelane/policy"
 )
 
-// serveIntrospection answers an introspection request of a tool.
+// serveIntrospection answers an introspection request (RFC 7662) of one of the site's tools.
 func (f *Front) serveIntrospection(w http.ResponseWriter, r *http.Request) {
 	h := w.Header()
 	h.Set("Cache-Control", "no-store")
@@ -61,14 +61,14 @@
 		rejected := core.Answer{Kind: core.Refused, Attempted: true, RetryAfter: retryAfter}
 		platform.WriteAnswer(w, r, roundUpRetryAfter(rejected))
 		return
-	case !*info.Active: // RFC 7662, section 2.2: nothing else is disclosed of an inactive token
+	case !*info.Active: // RFC 7662, section 2.2: disclose nothing else about an inactive token
 		text = []byte(`{"active":false}`)
 	}
 	platform.WriteAnswer(w, r, core.Answer{Kind: core.Served, ContentType: "application/json", Body: text})
 }
 
-// authenticateTool returns the tool whose credentials a request has, or nil. Secrets are compared in constant time,
-// as hashes, and all of them.
+// authenticateTool returns the tool whose credentials a request presents, or nil. Against timing attacks it compares
+// hashes of the secrets in constant time, and compares with every tool's secret even after a match.
 func (f *Front) authenticateTool(r *http.Request) (found *config.Tool) {
 	id, secret, ok := r.BasicAuth()
 	if !ok {
--- a/internal/daemon/front/platform/answer.go
+++ b/internal/daemon/front/platform/answer.go
@@ -12,8 +12,9 @@
 	"sprucelane.example/sprucelane/internal/pool"
 )
 
-// Respond writes the final answer to a request with a body, and reports whether the request was malformed after
-// all: a body that did not arrive completely is the client's fault, whatever the core made of it.
+// Respond writes the final answer to a request with a body and reports whether the request was malformed. If reading
+// the body has failed and the request was not served, the client gets the error of the body whatever the core's answer
+// is, because an incomplete body is the client's fault.
 func Respond(w http.ResponseWriter, r *http.Request, body *Body, a core.Answer) (malformed bool) {
 	if problem := body.RequestError(); problem != nil && a.Kind != core.Served {
 		body.Close()
@@ -27,8 +28,8 @@
 	return false
 }
 
-// WriteAnswer writes a final answer. 429 and 503 promise that the request may be sent again, so nothing else uses
-// them.
+// WriteAnswer writes a final answer. 429 and 503 promise that the request was not executed and may be sent again, so
+// they are used only for refused requests.
 func WriteAnswer(w http.ResponseWriter, r *http.Request, a core.Answer) {
 	defer a.Discard()
 	h := w.Header()
@@ -59,12 +60,12 @@
 			writeStatus(w, http.StatusBadGateway)
 		}
 	case core.ClientGone:
-		panic(http.ErrAbortHandler) // the client has left
+		panic(http.ErrAbortHandler) // the client has disconnected
 	}
 }
 
-// streamAnswer writes a long answer as it arrives. If it breaks off the client's connection is reset, so that the
-// client sees it as truncated.
+// streamAnswer writes a long answer as it arrives from the server. If the server's answer is truncated, the client's
+// connection is reset, so that the client can tell that the answer is incomplete.
 func streamAnswer(w http.ResponseWriter, r *http.Request, a core.Answer) {
 	if a.ContentLength >= 0 {
 		w.Header().Set("Content-Length", strconv.FormatInt(a.ContentLength, 10))
@@ -75,7 +76,7 @@
 		if len(chunk) > 0 {
 			controller.SetWriteDeadline(time.Now().Add(pool.StallTimeout))
 			if _, err := w.Write(chunk); err != nil || controller.Flush() != nil {
-				panic(http.ErrAbortHandler) // the client has left, or takes nothing
+				panic(http.ErrAbortHandler) // the client has disconnected or stopped reading
 			}
 		}
 		n, err := a.Remainder.Read(a.Body[:cap(a.Body)])
@@ -95,7 +96,7 @@
 	w.WriteHeader(code)
 }
 
-// formatSeconds formats a time as the protocol allows it in Retry-After, with decimals.
+// formatSeconds formats a duration in seconds for Retry-After, for which the platform's protocol allows decimals.
 func formatSeconds(d time.Duration) string {
 	return strconv.FormatFloat(d.Seconds(), 'f', -1, 64)
 }
--- a/internal/daemon/front/platform/body.go
+++ b/internal/daemon/front/platform/body.go
@@ -12,26 +12,26 @@
 )
 
 const (
-	// maxBodyPause is the time for which a client may send nothing of a body.
+	// maxBodyPause is the maximum time between two pieces of a body that a client sends.
 	maxBodyPause = 2500 * time.Millisecond
-	// minBodyRate is the minimum average rate of a body after its first pause, in bytes a second: half of that of
-	// the slow clients in the protocol.
+	// minBodyRate is the minimum average rate of a body after a first pause of maxBodyPause, in bytes per second: half
+	// the rate of the slow clients in the protocol.
 	minBodyRate = 32 << 10
-	// initialBufferSize is what is reserved for a body at first, in bytes, as a client may send less than it
-	// announces.
+	// initialBufferSize is the initial size of a body's buffer, in bytes. The announced length is not reserved at once,
+	// because a client may send less than it announces.
 	initialBufferSize = 4 << 10
 )
 
 var (
-	errBodyClosed = errors.New("platform: the request of the body has its answer")
+	errBodyClosed = errors.New("platform: read of a request body after it was closed")
 	errTooLong    = errors.New("platform: body exceeds the maximum size")
 )
 
-// bodyTooLong is the error of a body over the maximum size.
+// bodyTooLong is the error for a body that exceeds the maximum size.
 var bodyTooLong = &RequestError{Code: http.StatusRequestEntityTooLarge, Text: "body: too long"}
 
-// Body is a request's body: all of it in Buffered, or its beginning, and Read for the rest. An attempt reads it
-// while the front may close it.
+// Body is a request's body. Buffered has the whole body or its beginning; Read returns the rest. The front may close a
+// body while an attempt reads it.
 type Body struct {
 	Buffered []byte
 
@@ -40,23 +40,23 @@
 	budget     *buffers.Budget
 	reserved   int64 // bytes of the budget
 
-	mu        sync.Mutex // guards what follows
-	paceStart time.Time  // from which the rate is measured; moved on by the pauses between reads
-	received  int64      // bytes so far
-	lastRead  time.Time  // end of the last read
+	mu        sync.Mutex // guards the fields below
+	paceStart time.Time  // start of the rate measurement; the time between reads is added, so that it doesn't count
+	received  int64      // bytes received so far
+	lastRead  time.Time  // time when the last read ended
 	complete  bool       // read to its end
 	closed    bool
 	err       error // final error of reads
 }
 
-// ReadBody reads the buffered part of a body: all if it has at most 64 KiB, or a piece if it announces more. It
-// waits for memory until a deadline.
+// ReadBody reads the buffered part of a body: the whole body if it has at most 64 KiB, or the beginning of a longer
+// one. It waits for memory of the budget until the deadline at the latest.
 func ReadBody(w http.ResponseWriter, r *http.Request, budget *buffers.Budget,
 	deadline time.Time) (*Body, *RequestError) {
 	b := &Body{controller: http.NewResponseController(w), request: r, budget: budget, paceStart: time.Now()}
 	if b.lastRead = b.paceStart; r.ContentLength == 0 {
 		b.complete = true
-		b.controller.SetReadDeadline(time.Time{}) // else a deadline would look like the client's disconnect
+		b.controller.SetReadDeadline(time.Time{}) // an expired deadline would look like a disconnect of the client
 		return b, nil
 	}
 	if r.ContentLength > pool.MaxBodySize {
@@ -86,14 +86,16 @@
 			break
 		}
 	}
-	if r.ContentLength == int64(len(b.Buffered)) && !b.complete { // net/http watches for a disconnect only after the end
+	// net/http detects a disconnect of the client only after the body was read to EOF.
+	if r.ContentLength == int64(len(b.Buffered)) && !b.complete {
 		var one [1]byte
 		b.Read(one[:])
 	}
 	return b, nil
 }
 
-// grow enlarges the buffer to so many bytes in total.
+// grow enlarges the buffer to a capacity of size bytes. It returns false if the budget has no memory for it until the
+// deadline.
 func (b *Body) grow(size int64, deadline time.Time) bool {
 	if !b.budget.AcquireMore(b.reserved, size-b.reserved, deadline) {
 		return false
@@ -108,10 +110,10 @@
 // Empty reports whether there is no body.
 func (b *Body) Empty() bool { return len(b.Buffered) == 0 && b.complete }
 
-// Pending reports whether anything may follow the buffered part.
+// Pending reports whether more of the body may follow the buffered part.
 func (b *Body) Pending() bool { return !b.complete }
 
-// Read reads the bytes after the buffered part, until the body is closed.
+// Read reads the bytes after the buffered part. It returns errBodyClosed once the body is released or closed.
 func (b *Body) Read(p []byte) (int, error) {
 	b.mu.Lock()
 	closed := b.closed
@@ -122,7 +124,7 @@
 	return b.read(p)
 }
 
-// read reads the next bytes. It waits for at most maxBodyPause, and in total for as long as the minimum rate
+// read reads the next bytes. It waits for at most maxBodyPause, and no longer than the minimum rate of the whole body
 // allows.
 func (b *Body) read(p []byte) (int, error) {
 	b.mu.Lock()
@@ -150,14 +152,14 @@
 	switch {
 	case errors.Is(err, io.EOF):
 		b.complete = true
-		b.controller.SetReadDeadline(time.Time{}) // what follows is a disconnect or the next request
+		b.controller.SetReadDeadline(time.Time{}) // only a disconnect or the next request can follow
 	case err != nil:
 		b.err = err
 	}
 	return n, err
 }
 
-// RequestError returns what is wrong with the body, or nil.
+// RequestError returns the error for the client if reading the body has failed, or nil.
 func (b *Body) RequestError() *RequestError {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -170,8 +172,8 @@
 	return nil
 }
 
-// PrepareEarlyAnswer prepares an answer while the body may still be arriving: it is the last one of the connection,
-// and can be written before the body was read.
+// PrepareEarlyAnswer closes the body to further reads by an attempt before the answer is written. If the body has not
+// arrived completely, the answer is the last one of the connection and can be written before the body is read.
 func (b *Body) PrepareEarlyAnswer(w http.ResponseWriter) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -181,7 +183,7 @@
 	}
 }
 
-// Release releases the memory, and ends reads by an attempt.
+// Release returns the body's memory to the budget and makes further calls of Read fail.
 func (b *Body) Release() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -190,14 +192,14 @@
 	b.reserved = 0
 }
 
-// Close releases the body. What still arrives is read and discarded, at the rate of any body: closing the
-// connection with unread input could destroy the answer before the client has read it.
+// Close releases the body. It reads and discards the rest of the body, subject to the same minimum rate, because
+// closing the connection with unread input could destroy the answer before the client has read it.
 func (b *Body) Close() {
 	b.Release()
 	b.mu.Lock()
-	moreComes := !b.complete && b.err == nil
+	unread := !b.complete && b.err == nil
 	b.mu.Unlock()
-	if !moreComes || b.controller.Flush() != nil {
+	if !unread || b.controller.Flush() != nil {
 		return
 	}
 	buf := make([]byte, initialBufferSize)
--- a/internal/daemon/front/platform/body_test.go
+++ b/internal/daemon/front/platform/body_test.go
@@ -20,7 +20,7 @@
 	"sprucelane.example/sprucelane/internal/pool"
 )
 
-// startServer starts a gateway behind its own server, as the program has it.
+// startServer starts a gateway behind the HTTP server that the program uses.
 func startServer(t *testing.T, members ...*fake.Peer) (string, *core.Core, *buffers.Budget) {
 	f := newFront(t, members...)
 	f.BodyMemory = buffers.New(1 << 20)
@@ -103,13 +103,13 @@
 			}
 			cut := min(len(whole), 70000+size%977)
 			client.write(whole[:cut])
-			client.write(whole[cut:] + requestHead(id+1, "Content-Length: 1\r\n") + "x") // another one pipelined
+			client.write(whole[cut:] + requestHead(id+1, "Content-Length: 1\r\n") + "x") // a second request, pipelined
 			for _, want := range []string{body, "x"} {
 				code, answer, err := client.readResponse()
 				require.NoError(t, err, "%s of %d", name, size)
 				assert.Equal(t, 200, code, "%s of %d", name, size)
 				assert.Equal(t, "done", answer)
-				seen := m.Seen()[served] // the pipelined one may have arrived too
+				seen := m.Seen()[served] // the pipelined request may have arrived too
 				require.True(t, want == seen.Text, "%s of %d: the member saw %d bytes", name, size, len(seen.Text))
 				served++
 			}
@@ -120,13 +120,14 @@
 	assert.LessOrEqual(t, bodies.Stats().Peak, int64(pool.MaxBufferedBody))
 }
 
-// A rejection is sent at once, while the body is still arriving, and the client may finish sending before it reads.
+// A rejection is sent at once, while the body is still arriving, and a client that finishes sending before it reads
+// the answer still receives it.
 func TestEarlyRejection(t *testing.T) {
 	m := fake.New(t, fake.OK("done"))
 	addr, _, _ := startServer(t, m)
 	tiny := func(text string) string { return strings.Replace(text, "Tariff: utility", "Tariff: tiny", 1) }
 	small := dial(t, addr)
-	for id := 1; id < 9; id++ { // which uses up the burst of its plan
+	for id := 1; id < 9; id++ { // uses up the burst of the customer's plan
 		small.write(tiny(requestHead(id, "Content-Length: 1\r\n")) + "x")
 		_, _, err := small.readResponse()
 		require.NoError(t, err)
@@ -141,8 +142,8 @@
 	assert.Equal(t, io.EOF, err, "the connection ends in good order")
 }
 
-// A client that breaks off, trickles or sends too much gets an error or is closed soon, and no server sees its
-// request.
+// A client that stops in the middle of a body, sends it too slowly or sends too much gets an error or its connection
+// is closed soon, and no server receives its request.
 func TestTruncatedBodies(t *testing.T) {
 	m := fake.New(t, fake.OK("done"))
 	addr, c, bodies := startServer(t, m)
@@ -171,14 +172,14 @@
 	}, time.Minute, time.Millisecond)
 }
 
-// A slow body is waited for as long as it keeps to the minimum rate, far beyond the deadline in its head; the
-// deadline runs from its last byte on.
+// The gateway waits for a slow body as long as it keeps to the minimum rate, far beyond the deadline in the request's
+// header; the deadline runs from the body's last byte on.
 func TestSlowBody(t *testing.T) {
 	m := fake.New(t, fake.OK("done"))
 	addr, _, _ := startServer(t, m)
 	client := dial(t, addr)
 	client.write(strings.Replace(requestHead(1, "Content-Length: 180000\r\n"), "Ms: 15000", "Ms: 1000", 1))
-	for range 18 { // at 100 kB a second
+	for range 18 { // at 100 kB per second
 		client.write(strings.Repeat("x", 10000))
 		time.Sleep(100 * time.Millisecond)
 	}
@@ -189,7 +190,7 @@
 	assert.Len(t, m.Seen()[0].Text, 180000)
 }
 
-// A long answer reaches the client unchanged, and its first bytes before the server has sent the rest.
+// A long answer reaches the client unchanged, and its first bytes arrive before the server has sent the rest.
 func TestLongAnswer(t *testing.T) {
 	long := strings.Repeat("0123456789abcdef!", 200000)
 	begun := make(chan bool)
--- a/internal/daemon/front/platform/clientgone_test.go
+++ b/internal/daemon/front/platform/clientgone_test.go
@@ -34,7 +34,8 @@
 		time.Millisecond, count)
 }
 
-// A client leaves during its first attempt, which then fails: there is no retry, though the class is idempotent.
+// A client disconnects during the first attempt of its request, which then fails: there is no retry, although the
+// class is idempotent.
 func TestClientLeavesBetweenAttempts(t *testing.T) {
 	sent, reset := make(chan bool), make(chan bool)
 	m := fake.New(t, func(p *fake.Peer, c net.Conn, r fake.Seen) bool {
--- a/internal/daemon/front/platform/front.go
+++ b/internal/daemon/front/platform/front.go
@@ -17,36 +17,36 @@
 	Settings     *Settings
 	Ready        func() bool
 	OpenRequests *OpenRequests
-	BodyMemory   *buffers.Budget // memory of request bodies; nil: no bound
+	BodyMemory   *buffers.Budget // memory budget of request bodies; nil: unlimited
 	malformed    atomic.Uint64
 }
 
-// Settings holds the deployment in force, which is replaced as a whole.
+// Settings holds the current deployment, which is replaced as a whole.
 type Settings struct {
 	current atomic.Pointer[config.Deployment]
 }
 
-// NewSettings returns Settings with a deployment in force.
+// NewSettings returns Settings that hold d.
 func NewSettings(d config.Deployment) *Settings {
 	s := &Settings{}
 	s.Set(d)
 	return s
 }
 
-// Set puts another deployment in force, for requests that are read from now on.
+// Set replaces the deployment for requests that are read from now on.
 func (s *Settings) Set(d config.Deployment) { s.current.Store(&d) }
 
-// Get returns the deployment in force, which must not be changed.
+// Get returns the current deployment, which the caller must not modify.
 func (s *Settings) Get() *config.Deployment { return s.current.Load() }
 
-// OpenRequests has the ids of the requests that are open, through whichever front they came. A request with the id of
-// another open one would look to a server like a second copy of it.
+// OpenRequests is the set of the ids of open requests, across all fronts. Ids must be unique among open requests,
+// because to a server two requests with the same id look like two copies of one request.
 type OpenRequests struct{ ids sync.Map }
 
 // Remove removes the id of a request that RequestReader.Read has accepted.
 func (o *OpenRequests) Remove(r *http.Request) { o.ids.Delete(r.Header.Get(headerRequestID)) }
 
-// Malformed counts the malformed requests so far.
+// Malformed returns the number of malformed requests so far.
 func (f *Front) Malformed() uint64 { return f.malformed.Load() }
 
 // ServeHTTP implements http.Handler.
--- a/internal/daemon/front/platform/platform_test.go
+++ b/internal/daemon/front/platform/platform_test.go
@@ -21,7 +21,7 @@
 	"sprucelane.example/sprucelane/policy"
 )
 
-// newFront returns a front with a core and a pool of some servers.
+// newFront returns a front with a core and a pool of the given servers.
 func newFront(t *testing.T, members ...*fake.Peer) *platform.Front {
 	d := fake.Deployment()
 	p := pool.New(pool.Options{MaxConnections: 50, IdleTimeout: d.IdleTimeout, ConnectTimeout: d.ConnectTimeout})
@@ -38,7 +38,7 @@
 		Ready: func() bool { return p.ReadyServers() > 0 }}
 }
 
-// gateway starts a gateway with some servers and returns its address.
+// gateway starts a gateway with the given servers and returns its address and its core.
 func gateway(t *testing.T, members ...*fake.Peer) (string, *core.Core) {
 	f := newFront(t, members...)
 	s := httptest.NewServer(f)
@@ -59,8 +59,8 @@
 	assert.NotEmpty(t, got.Header.Get("X-Deadline-Ms"))
 }
 
-// The idempotency key reaches each server that is tried as the client sent it; without it a server would execute a
-// retry.
+// The idempotency key reaches each server that is tried exactly as the client sent it; without the key a server would
+// execute a retry as a new request.
 func TestKeyPassesThrough(t *testing.T) {
 	const key = "5c0f6e1a2b3d4c59a8b7c6d5e4f30211"
 	m := fake.New(t, fake.Reset, fake.OK("read"))
@@ -87,8 +87,8 @@
 	assert.Empty(t, m.Seen())
 }
 
-// A request that was written whole before a reset may have been executed: if it is not idempotent it is not
-// retried, and the client is not invited to send it again.
+// A request that was written completely before a reset may have been executed: if it is not idempotent, it is not
+// retried, and the answer doesn't invite the client to send it again.
 func TestNonIdempotentResetIsNotRetried(t *testing.T) {
 	a, b := fake.New(t, fake.Reset), fake.New(t, fake.Reset)
 	base, _ := gateway(t, a, b)
@@ -118,8 +118,8 @@
 	assert.Len(t, m.Seen(), 2)
 }
 
-// A server accepts a request and does not answer: the client is told before its own deadline, and not earlier.
-func TestSilentServer(t *testing.T) {
+// A server accepts a request and does not answer: the client gets an error shortly before its own deadline.
+func TestUnresponsiveServer(t *testing.T) {
 	m := fake.New(t, fake.Stall(time.Hour))
 	base, _ := gateway(t, m)
 	resp, _ := fake.Ask(t, base, "work-order", "utility", 2000)
@@ -127,8 +127,8 @@
 	assert.Len(t, m.Seen(), 1)
 }
 
-// A rejection is sent at once, long before the deadline, and says when to retry: an eighth of the latency target,
-// so that there is still time for an answer.
+// A rejection is sent at once, long before the deadline, and its Retry-After is an eighth of the latency target, so
+// that there is still time for an answer to the retry.
 func TestRejectionHasRetryAfter(t *testing.T) {
 	m := fake.New(t, fake.OK("done"))
 	base, c := gateway(t, m)
@@ -143,8 +143,8 @@
 	assert.Contains(t, c.Counters().String(), "taken=20 open=0")
 }
 
-// The true cost of a request is charged if a successful answer has it: a quota of two units is used up by one
-// request estimated at two, but not if the answer says that it was less. A malformed cost is ignored.
+// If a successful answer has the true cost of a request, that cost is charged: one request estimated at two units uses
+// up a quota of two units, but not if the answer reports a lower cost. A malformed cost is ignored.
 func TestTrueCostSettlesTheQuota(t *testing.T) {
 	for told, spent := range map[string]bool{"X-True-Cost: 0.01\r\n": false, "X-True-Cost: 2\r\n": true, "": true,
 		"X-True-Cost: -7\r\n": true, "X-True-Cost: nan\r\n": true, "X-True-Cost: 1e300\r\n": true} {
@@ -200,7 +200,7 @@
 	assert.Empty(t, m.Seen())
 }
 
-// raw sends bytes on a connection of their own, and returns all that comes back.
+// raw sends text on a new connection and returns everything that is received until the connection ends.
 func raw(t *testing.T, base, text string) string {
 	c, err := net.Dial("tcp", strings.TrimPrefix(base, "http://"))
 	require.NoError(t, err)
@@ -216,7 +216,7 @@
 const head = "POST /work-order HTTP/1.1\r\nHost: x\r\nX-Request-Id: 7\r\nX-Class: work-order\r\nX-Tariff: utility\r\n" +
 	"X-Subscriber: 01\r\nX-Deadline-Ms: 15000\r\nX-Weight: units=1,spread=1,first=0\r\n"
 
-// A request with two lengths may hide another in its body: neither is forwarded, and the connection ends.
+// A request with two lengths may hide another request in its body: neither is forwarded, and the connection is closed.
 func TestRequestSmuggling(t *testing.T) {
 	m := fake.New(t, fake.OK("done"))
 	base, c := gateway(t, m)
@@ -229,7 +229,7 @@
 	assert.Empty(t, m.Seen())
 }
 
-// A body that never arrives completely is not waited for until the deadline.
+// The gateway does not wait until the deadline for a body that never arrives completely.
 func TestTruncatedBody(t *testing.T) {
 	m := fake.New(t, fake.OK("done"))
 	base, _ := gateway(t, m)
@@ -238,7 +238,7 @@
 	assert.Empty(t, m.Seen())
 }
 
-// A request with the id of an open one is rejected: it would look like a second copy of that.
+// A request with the id of an open request is rejected: to a server it would look like a second copy of that request.
 func TestDuplicateRequestID(t *testing.T) {
 	seen := make(chan bool)
 	m := fake.New(t, func(p *fake.Peer, c net.Conn, r fake.Seen) bool {
--- a/internal/daemon/front/platform/request.go
+++ b/internal/daemon/front/platform/request.go
@@ -31,19 +31,20 @@
 	maxCustomerID           = 1 << 33
 	maxRequestIDLength      = 128 // bytes
 	maxIdempotencyKeyLength = 255 // bytes
-	// transitTime is subtracted from a deadline, which runs from when the client sent: for the way here and back.
+	// transitTime is subtracted from a request's deadline, because the client counts it from the time of sending: it
+	// allows for the transit of the request and of the answer.
 	transitTime = 6 * time.Millisecond
 )
 
-// RequestError says why a request is not accepted, as the client is told.
+// RequestError is the error that a client receives for a request that is not accepted.
 type RequestError struct {
 	Code       int
 	Text       string
-	RetryAfter time.Duration // if above 0 the request may be sent again after that time
+	RetryAfter time.Duration // time after which the client may send the request again; 0: no Retry-After is sent
 }
 
-// Write writes the error and ends the connection: it is not certain where a malformed request ends, and what
-// follows it could be another request that is hidden in its body.
+// Write writes the error and makes it the last answer of the connection: the end of a malformed request is uncertain,
+// and the bytes that follow it could be another request that is hidden in its body (request smuggling).
 func (b *RequestError) Write(w http.ResponseWriter) {
 	w.Header().Set("Connection", "close")
 	if b.RetryAfter > 0 {
@@ -57,15 +58,16 @@
 	return &RequestError{Code: http.StatusBadRequest, Text: text}
 }
 
-// RequestReader reads requests into the core's form.
+// RequestReader checks clients' requests and converts them to core.Request.
 type RequestReader struct {
 	Deployment   *config.Deployment
 	OpenRequests *OpenRequests
-	Bodies       *buffers.Budget // memory of request bodies; nil: no bound
+	Bodies       *buffers.Budget // memory budget of request bodies; nil: unlimited
 }
 
-// Read checks a request that arrived at some time. It returns the core's request, whose id is open until
-// OpenRequests.Remove, and its body, which the caller closes once there is an answer.
+// Read checks a request that arrived at the given time and reads its body or the beginning of it. It returns the
+// core's request, whose id stays in OpenRequests until the caller removes it, and the body, which the caller must close
+// once there is an answer.
 func (q RequestReader) Read(w http.ResponseWriter, r *http.Request,
 	arrived core.Time) (request core.Request, body *Body, problem *RequestError) {
 	d := q.Deployment
@@ -143,12 +145,12 @@
 	return request, body, nil
 }
 
-// appendHeader appends the line of a header field.
+// appendHeader appends the line of a header field and returns the extended buffer.
 func appendHeader(header []byte, name, value string) []byte {
 	return append(append(append(append(header, name...), ": "...), value...), "\r\n"...)
 }
 
-// methodFor returns the method that a class takes.
+// methodFor returns the HTTP method of requests of a class with the given idempotency.
 func methodFor(e policy.Idempotency) string {
 	if e == policy.Idempotent {
 		return http.MethodGet
@@ -157,8 +159,8 @@
 }
 
 // parseWeight parses units=U,spread=S,first=F: the cost of the request in units, the number of gateways that serve
-// its customer, and the first of them. It reports whether all are in range and this gateway is one of those;
-// otherwise the customer's quota would be charged wrongly.
+// its customer, and the index of the first of these gateways. It reports whether all values are in range and this
+// gateway is one of those that serve the customer; if not, the customer's quota would be charged wrongly.
 func parseWeight(text string, request *core.Request, d *config.Deployment) bool {
 	spread, first := 0.0, -1.0
 	for text != "" {
