--- a/internal/daemon/front/control/server.go
+++ b/internal/daemon/front/control/server.go
@@ -14,10 +14,10 @@
 	"sprucelane.example/sprucelane/internal/service"
 )
 
+// Limits of one call. lingerTimeout bounds the time for which unread input is discarded after the answer.
 const (
 	callTimeout   = 10 * time.Second // for reading a call
 	writeTimeout  = time.Second      // for writing the answer
-	// lingerTimeout bounds the time for which unread input is discarded before the connection is closed.
 	lingerTimeout = 250 * time.Millisecond
 	maxHeadSize   = 8 << 10
 	maxBodySize   = 4 << 10
--- a/internal/daemon/front/introspect/bearer.go
+++ b/internal/daemon/front/introspect/bearer.go
@@ -13,15 +13,13 @@
 	"sprucelane.example/sprucelane/policy"
 )
 
-// denial is the reason why a token with a valid introspection response doesn't authorize a request.
+// denial is the reason why a token with a valid introspection response doesn't authorize a request: the token is
+// inactive, lacks the scope of the request's class, or belongs to another customer.
 type denial = int32
 
 const (
-	// invalidToken: the token is inactive.
-	invalidToken denial = iota
-	// insufficientScope: the token lacks the scope of the request's class.
+	invalidToken denial = iota // inactive
 	insufficientScope
-	// otherAccount: the token belongs to another customer.
 	otherAccount
 )
 
--- a/internal/daemon/handover/conn.go
+++ b/internal/daemon/handover/conn.go
@@ -16,21 +16,22 @@
 // conn is one side of a connection between the two processes.
 type conn struct{ *net.UnixConn }
 
-// frame is a frame that was read. Its reader closes the files.
+// frame is a frame that was read. The caller of readFrame must close its files.
 type frame struct {
 	kind    frameKind
 	content []byte
-	files   []*os.File // whose descriptors came with it
+	files   []*os.File // files whose descriptors were received with the frame
 }
 
 const (
 	frameLengthSize = 4
-	frameHeaderSize = frameLengthSize + 1 // with the kind
+	frameHeaderSize = frameLengthSize + 1 // length and kind
 )
 
 var crcTable = crc32.MakeTable(crc32.Castagnoli)
 
-// writeFrame writes a frame, and sends duplicates of the files' descriptors with it.
+// writeFrame writes a frame and sends duplicates of the files' descriptors with it. A single write times out after
+// replyTimeout.
 func (c conn) writeFrame(kind frameKind, content []byte, files ...*os.File) error {
 	if len(content) > maxFrameSize-1 {
 		return errors.New("handover: frame too long")
@@ -51,8 +52,8 @@
 	return err
 }
 
-// readFrame reads one frame. A timeout of 0 waits for as long as the other side lives. With an error the frame has no
-// files.
+// readFrame reads one frame. With a timeout of 0 it waits for the beginning of the frame until the other side closes
+// the connection. If it returns an error, the frame has no files.
 func (c conn) readFrame(timeout time.Duration) (f frame, err error) {
 	defer func() {
 		if err != nil {
@@ -60,7 +61,7 @@
 			f.files = nil
 		}
 	}()
-	// The descriptors come with the first byte of the frame.
+	// The descriptors are received together with the first byte of the frame.
 	header, rights := make([]byte, frameHeaderSize), make([]byte, syscall.CmsgSpace(4*maxFiles))
 	c.SetReadDeadline(time.Now().Add(cmp.Or(timeout, readInterval)))
 	n, rightsLen, _, _, err := c.ReadMsgUnix(header, rights)
@@ -83,14 +84,15 @@
 	}
 	size := binary.BigEndian.Uint32(header)
 	if size < 1 || size > maxFrameSize {
-		return f, fmt.Errorf("handover: a frame of %d bytes", size)
+		return f, fmt.Errorf("handover: frame has %d bytes, want 1 to %d", size, maxFrameSize)
 	}
 	f.kind, f.content = frameKind(header[frameLengthSize]), make([]byte, size-1)
 	_, err = io.ReadFull(c, f.content)
 	return f, err
 }
 
-// expect reads one frame of a kind that has no files.
+// expect reads one frame and returns its content. It closes any files of the frame, and returns an error if the frame
+// is not of the kind want.
 func (c conn) expect(want frameKind, timeout time.Duration) ([]byte, error) {
 	f, err := c.readFrame(timeout)
 	closeAll(f.files)
@@ -98,12 +100,12 @@
 		return nil, err
 	}
 	if f.kind != want {
-		return nil, fmt.Errorf("handover: a frame of kind %d, not %d", f.kind, want)
+		return nil, fmt.Errorf("handover: received a frame of kind %d, want %d", f.kind, want)
 	}
 	return f.content, nil
 }
 
-// writeState writes the state in several frames, and its checksum.
+// writeState writes the state in frames of at most stateFrameLen bytes, followed by its checksum.
 func (c conn) writeState(state []byte) error {
 	sum := crc32.Checksum(state, crcTable)
 	for len(state) > 0 {
@@ -116,7 +118,8 @@
 	return c.writeFrame(frameStateEnd, binary.BigEndian.AppendUint32(nil, sum))
 }
 
-// readState returns the state if it arrives complete within replyTimeout; otherwise an error.
+// readState reads the state that writeState writes. It returns an error if the state doesn't arrive completely within
+// replyTimeout, is too long or has a wrong checksum.
 func (c conn) readState() (state []byte, err error) {
 	for until := time.Now().Add(replyTimeout); ; {
 		f, err := c.readFrame(max(time.Until(until), time.Millisecond))
@@ -128,17 +131,17 @@
 			state = append(state, f.content...)
 		case f.kind == frameStateEnd && len(f.content) == crc32.Size:
 			if crc32.Checksum(state, crcTable) != binary.BigEndian.Uint32(f.content) {
-				return nil, errors.New("handover: the state's checksum is wrong")
+				return nil, errors.New("handover: wrong checksum of the state")
 			}
 			return state, nil
 		default:
-			return nil, fmt.Errorf("handover: a frame of kind %d in the state", f.kind)
+			return nil, fmt.Errorf("handover: unexpected frame of kind %d within the state, or state too long", f.kind)
 		}
 	}
 }
 
-// encodeRights encodes the files' descriptors as ancillary data (SCM_RIGHTS); nil without files. os.File.Fd would make
-// the sockets blocking, and with them the ones that they are duplicates of.
+// encodeRights encodes the files' descriptors as ancillary data (SCM_RIGHTS), nil if there are no files. It doesn't use
+// os.File.Fd, because that would make the sockets blocking, and also the sockets of which they are duplicates.
 func encodeRights(files []*os.File) ([]byte, error) {
 	if len(files) == 0 {
 		return nil, nil
@@ -154,7 +157,8 @@
 	return syscall.UnixRights(fds...), nil
 }
 
-// parseRights returns the files whose descriptors came as ancillary data, some also with an error.
+// parseRights returns the files whose descriptors are in the ancillary data. It may return files together with an
+// error.
 func parseRights(rights []byte) (files []*os.File, err error) {
 	if len(rights) == 0 {
 		return nil, nil
@@ -166,7 +170,7 @@
 	for i := range messages {
 		fds, err := syscall.ParseUnixRights(&messages[i])
 		if err != nil {
-			continue // another kind of ancillary data
+			continue // ancillary data of another type
 		}
 		for _, fd := range fds {
 			syscall.CloseOnExec(fd)
@@ -182,7 +186,7 @@
 	}
 }
 
-// sameUser tells whether the other side is a process of this process's user.
+// sameUser reports whether the process on the other side runs as the same user as this process.
 func sameUser(c *net.UnixConn) bool {
 	raw, err := c.SyscallConn()
 	if err != nil {
--- a/internal/daemon/handover/doc.go
+++ b/internal/daemon/handover/doc.go
@@ -1,12 +1,12 @@
-// Package handover carries what a process of a gateway hands over to the one that follows it in an upgrade: its open
-// sockets, its state, and afterwards updates on what it still does. It decides nothing about when to serve; the
-// [Process] does.
+// Package handover transfers the open sockets and the state of a gateway's process to the process that replaces it in
+// an upgrade, and afterwards updates on the work that the old process still has. The package doesn't decide when a
+// process serves; the [Process] does.
 //
 // # Protocol
 //
-// The processes meet at a Unix socket in a folder that both have ([Path]): the predecessor listens ([Listen]), the
-// successor connects ([Connect]). Each message is a frame: its length (4 bytes, big endian, of what follows), its
-// kind (1 byte), and its content.
+// The processes communicate through a Unix socket in a directory that both can access ([Path]): the predecessor listens
+// ([Listen]) and the successor connects ([Connect]). Each message is a frame: the length of kind and content (4 bytes,
+// big endian), the kind (1 byte), and the content.
 //
 //	successor                     predecessor
 //	hello (version, name)   ->
@@ -22,10 +22,10 @@
 //
 // # Failures
 //
-// Connections and datagrams that arrive while neither process accepts wait in the sockets' queues, so none is lost. If
-// the successor fails before it serves, or exits while its predecessor still runs, the predecessor takes all back
-// (Process.Resume). A state that is incomplete is dropped as a whole, and the successor serves without it.
+// Connections and datagrams that arrive while neither process accepts wait in the sockets' queues, so that none is
+// lost. If the successor fails before it serves, or exits while its predecessor still runs, the predecessor serves again
+// (Process.Resume). An incomplete state is discarded as a whole, and the successor serves without it.
 //
-// Neither side relies on the other: processes of other users are rejected, frames and the state are bounded, and every
-// wait has a time-out.
+// Neither side trusts the other: processes of other users are rejected, the sizes of frames and of the state are
+// limited, and every wait has a timeout.
 package handover
--- a/internal/daemon/handover/handover_test.go
+++ b/internal/daemon/handover/handover_test.go
@@ -54,8 +54,8 @@
 	return path, g
 }
 
-// All is handed over: open sockets, which still work on both sides and block neither, the complete state, and updates
-// afterwards.
+// A handover transfers the open sockets, the complete state, and updates afterwards. The sockets work in both processes
+// and stay non-blocking.
 func TestHandOver(t *testing.T) {
 	p := newProcess(t)
 	path, g := listen(t, p)
@@ -66,9 +66,9 @@
 	l, u := h.Listener(p.l.Addr().String()), h.PacketConn(p.u.LocalAddr().String())
 	require.NotNil(t, l)
 	require.NotNil(t, u)
-	assert.Nil(t, h.Listener("127.0.0.1:1"), "nobody listens there")
+	assert.Nil(t, h.Listener("127.0.0.1:1"), "the predecessor has no listener at this address")
 	_, err = Connect(path, "n0", 0)
-	assert.ErrorIs(t, err, ErrBusy, "one successor at a time")
+	assert.ErrorIs(t, err, ErrBusy, "a second successor must not be admitted")
 	for _, s := range []syscall.Conn{p.l, l.(*net.TCPListener), p.u, u} {
 		raw, err := s.SyscallConn()
 		require.NoError(t, err)
@@ -88,7 +88,7 @@
 	p.l.Close()
 	p.u.Close()
 	c, err := net.Dial("tcp", p.l.Addr().String())
-	require.NoError(t, err, "the port is open though its first owner has closed it")
+	require.NoError(t, err, "the port must stay open after the predecessor has closed its listener")
 	defer c.Close()
 	_, err = l.Accept()
 	require.NoError(t, err)
@@ -96,14 +96,14 @@
 	var heard []string
 	h.ReceiveUpdates(func(content []byte) { heard = append(heard, string(content)) })
 	assert.Equal(t, []string{"one", "two"}, heard)
-	assert.Empty(t, p.step, "its own end is no reason to take back")
+	assert.Empty(t, p.step, "a predecessor that is closed must not resume")
 	h.Close()
 	l.Close()
 	u.Close()
 }
 
-// If a successor ends at any step, its predecessor serves again and can be followed by another, also if the one that
-// has ended had put a socket of its own at the path.
+// If a successor exits at any step of the handover, its predecessor serves again and can hand over to another
+// successor, also if the one that has exited had replaced the socket at the path.
 func TestSuccessorEnds(t *testing.T) {
 	p := newProcess(t)
 	path, _ := listen(t, p)
@@ -113,10 +113,10 @@
 		steps string
 	}{
 		{"after the offer", func(h *Successor) {}, ""},
-		{"before it is done", func(h *Successor) { h.ReceiveState() }, "freeze resume"},
+		{"before the done frame", func(h *Successor) { h.ReceiveState() }, "freeze resume"},
 		{"in the middle of the state", func(h *Successor) { h.conn.writeFrame(frameTake, nil); h.conn.readFrame(time.Minute) }, "freeze resume"},
-		{"when it serves", func(h *Successor) { h.ReceiveState(); h.Confirm(); os.Remove(path) }, "freeze given resume"},
-		{"saying something else", func(h *Successor) { h.conn.writeFrame(frameUpdate, []byte("x")); h.conn.readFrame(time.Minute) }, ""},
+		{"while it serves", func(h *Successor) { h.ReceiveState(); h.Confirm(); os.Remove(path) }, "freeze given resume"},
+		{"sending another kind", func(h *Successor) { h.conn.writeFrame(frameUpdate, []byte("x")); h.conn.readFrame(time.Minute) }, ""},
 	} {
 		h, err := Connect(path, "n0", time.Minute)
 		require.NoError(t, err, c.name)
@@ -129,8 +129,9 @@
 	assert.Empty(t, p.step)
 }
 
-// A successor starts without a predecessor that it can't talk to: none, a socket file that is left, another file, a
-// process that hangs, and one that sends anything else, whose state is dropped as a whole.
+// A successor can start if it can't communicate with a predecessor: there is none, its socket file was left behind,
+// the path has another kind of file, or the predecessor hangs or sends invalid frames. An invalid state is discarded
+// as a whole.
 func TestNoPredecessor(t *testing.T) {
 	dir := t.TempDir()
 	path, err := Path(dir, "n0")
@@ -142,11 +143,11 @@
 	l.SetUnlinkOnClose(false)
 	l.Close()
 	_, err = Connect(path, "n0", 0)
-	assert.ErrorIs(t, err, ErrNoPredecessor, "the socket file of a process that was killed")
+	assert.ErrorIs(t, err, ErrNoPredecessor, "a socket file left by a process that was killed is no predecessor")
 	g, err := Listen(path, "n0", newProcess(t))
-	require.NoError(t, err, "which is no hindrance")
+	require.NoError(t, err, "a leftover socket file must not prevent listening")
 	_, err = Connect(path, "n1", 0)
-	assert.Error(t, err, "another gateway's")
+	assert.Error(t, err, "the predecessor belongs to another gateway")
 	g.Close()
 	require.NoError(t, os.Remove(path))
 	require.NoError(t, os.WriteFile(path, nil, 0o600))
@@ -166,7 +167,7 @@
 		},
 		"no length": func(l conn) { l.Write(make([]byte, 5)) },
 	} {
-		_, err := Connect(meetScript(t, script), "n0", 0)
+		_, err := Connect(startScripted(t, script), "n0", 0)
 		assert.Error(t, err, name)
 		assert.NotErrorIs(t, err, ErrNoPredecessor, name)
 	}
@@ -190,18 +191,18 @@
 		"odd frame": func(l conn) { l.writeFrame(frameState, []byte("half")); l.writeFrame(frameUpdate, nil) },
 		"late":      func(l conn) { l.writeFrame(frameState, []byte("half")); l.readFrame(time.Minute) },
 	} {
-		h, err := Connect(meetScript(t, offers(script)), "n0", 0)
+		h, err := Connect(startScripted(t, offers(script)), "n0", 0)
 		require.NoError(t, err, name)
 		all, err := h.ReceiveState()
 		assert.Error(t, err, name)
 		assert.Nil(t, all, name)
-		assert.NotNil(t, h.Listener(p.l.Addr().String()), name+": the sockets are its own all the same")
+		assert.NotNil(t, h.Listener(p.l.Addr().String()), name+": the successor must keep the sockets")
 		h.Close()
 	}
 }
 
-// meetScript starts a scripted predecessor, which has read the hello, and returns its path.
-func meetScript(t *testing.T, script func(l conn)) string {
+// startScripted starts a predecessor that runs script after it has read the hello frame, and returns its path.
+func startScripted(t *testing.T, script func(l conn)) string {
 	path := filepath.Join(t.TempDir(), "s.sock")
 	l, err := net.ListenUnix("unix", &net.UnixAddr{Name: path, Net: "unix"})
 	require.NoError(t, err)
@@ -230,7 +231,7 @@
 	assert.Error(t, err)
 }
 
-// For any input, reading a frame ends, keeps within its bound and leaves no descriptor open.
+// For any input, reading a frame ends, keeps within the size limit and leaves no descriptor open.
 func FuzzReceive(f *testing.F) {
 	f.Add([]byte{0, 0, 0, 2, byte(frameOffer), '{'})
 	f.Add([]byte{0xff, 0xff, 0xff, 0xff, 1})
--- a/internal/daemon/handover/predecessor.go
+++ b/internal/daemon/handover/predecessor.go
@@ -10,51 +10,51 @@
 	"sync"
 )
 
-// Process is a process that may be followed by another. Its methods are not called concurrently.
+// Process is a process that a successor may replace. Its methods are not called concurrently.
 type Process interface {
-	// Offer returns the open sockets with duplicates of their files, which the caller closes.
+	// Offer returns the offer and duplicates of the open sockets' files, which the caller must close.
 	Offer() (Offer, []*os.File, error)
 	// Freeze stops accepting connections and reading datagrams, and returns the state.
 	Freeze() []byte
 	// HandedOver is called when the successor is about to serve.
 	HandedOver()
-	// Resume is called after Freeze if the successor has failed, or if it has ended before this process: this one
-	// serves again.
+	// Resume is called after Freeze if the successor has failed, or if it has exited before this process. This process
+	// then serves again.
 	Resume()
 }
 
-// Predecessor is the predecessor's side: it waits for a successor and hands over to it.
+// Predecessor is the predecessor's side of a handover: it waits for a successor and hands over to it.
 type Predecessor struct {
 	socketPath string
-	name       string // the gateway's
+	name       string // name of the gateway
 	process    Process
 
 	goroutines sync.WaitGroup
 
-	mu        sync.Mutex // guards what follows
+	mu        sync.Mutex // guards the fields below
 	listener  *net.UnixListener
-	connected bool  // whether there is a successor; only one at a time is admitted
-	successor *conn // to which this process has handed over; nil: none
+	connected bool  // a successor is admitted; at most one at a time is
+	successor *conn // connection to the successor to which this process has handed over; nil: none
 	closed    bool
 }
 
-// Listen starts to wait for a successor of the gateway of a name, at a path that [Path] returned, in the place of a
-// process that listened there before.
+// Listen starts to wait for a successor of the gateway with the given name at a path that [Path] returned. It replaces
+// the socket of a process that listened there before.
 func Listen(path, name string, process Process) (*Predecessor, error) {
 	p := &Predecessor{socketPath: path, name: name, process: process}
 	return p, p.listen()
 }
 
-// listen makes a socket at a path of its own and renames it to socketPath, so that a successor finds either the old
-// socket or the new one. It closes the earlier listener.
+// listen creates a socket at a temporary path and renames it to socketPath, so that a successor finds either the old
+// socket or the new one at any time. It closes the previous listener.
 func (p *Predecessor) listen() error {
 	temporary := fmt.Sprintf("%s.%d", p.socketPath, os.Getpid())
-	os.Remove(temporary) // left by a process that was killed here
+	os.Remove(temporary) // may be left by a process with the same ID that was killed before the rename
 	l, err := net.ListenUnix("unix", &net.UnixAddr{Name: temporary, Net: "unix"})
 	if err != nil {
 		return err
 	}
-	l.SetUnlinkOnClose(false) // a successor's socket is at the path by then
+	l.SetUnlinkOnClose(false) // when this listener closes, a successor's socket may be at the path
 	if err = errors.Join(os.Chmod(temporary, 0o700), os.Rename(temporary, p.socketPath)); err != nil {
 		l.Close()
 		os.Remove(temporary)
@@ -72,7 +72,8 @@
 	return nil
 }
 
-// Close ends all connections and waits for that. What has been handed over remains the successor's.
+// Close closes the listener and the connection to the successor, and waits until all goroutines have ended. The
+// successor keeps what has been handed over to it.
 func (p *Predecessor) Close() {
 	p.mu.Lock()
 	p.closed = true
@@ -96,7 +97,7 @@
 	}
 }
 
-// SendUpdate sends an update to the successor. Before this process has handed over it does nothing.
+// SendUpdate sends an update to the successor. It does nothing if this process has not handed over.
 func (p *Predecessor) SendUpdate(content []byte) {
 	p.mu.Lock()
 	c := p.successor
@@ -106,7 +107,7 @@
 	}
 }
 
-// admit tells whether a successor may go on: one at a time.
+// admit reports whether a connecting successor is admitted. At most one successor at a time is.
 func (p *Predecessor) admit() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -123,7 +124,7 @@
 	p.connected, p.successor = false, nil
 }
 
-// handOver hands over to one successor, and returns when either process ends.
+// handOver hands over to one successor and returns when the handover has failed or either process ends.
 func (p *Predecessor) handOver(c conn) {
 	defer c.Close()
 	if !sameUser(c.UnixConn) {
@@ -163,18 +164,18 @@
 	p.process.HandedOver()
 	c.writeFrame(frameServe, nil)
 	slog.Info("handover", "step", "given")
-	c.expect(frameUpdate, 0) // the successor sends nothing more: this returns when either process ends
+	c.expect(frameUpdate, 0) // the successor sends no further frame, so this returns when either process ends
 	p.mu.Lock()
 	closed = p.closed
 	p.mu.Unlock()
 	if !closed {
-		err := p.listen() // the successor's socket is at the path
+		err := p.listen() // again, because the successor may have replaced the socket at the path
 		p.process.Resume()
 		slog.Warn("handover", "step", "taken_back", "err", err)
 	}
 }
 
-// offer sends the offer, and waits until the successor takes it.
+// offer sends the offer and waits until the successor accepts it with a take frame.
 func (p *Predecessor) offer(c conn) error {
 	offer, files, err := p.process.Offer()
 	if err != nil {
--- a/internal/daemon/handover/successor.go
+++ b/internal/daemon/handover/successor.go
@@ -10,21 +10,22 @@
 	"time"
 )
 
-// Successor is the successor's side of a connection to a predecessor. The methods Listener, PacketConn and Close of a
-// nil *Successor work: it offers nothing.
+// Successor is the successor's side of a connection to a predecessor. The methods Listener, PacketConn and Close may be
+// called on a nil *Successor, which has no sockets.
 type Successor struct {
-	// Offer is what the predecessor has offered.
+	// Offer is the predecessor's offer.
 	Offer Offer
 
 	conn  conn
-	files map[string]*os.File // by the names in Offer.Files
+	files map[string]*os.File // by their names in Offer.Files
 }
 
-// busyRetryInterval is the time between attempts to connect to a predecessor that is busy.
+// busyRetryInterval is the time between attempts to connect to a busy predecessor.
 const busyRetryInterval = 20 * time.Millisecond
 
-// Connect connects to the predecessor that listens at path, and receives its offer. While the predecessor is busy it
-// is tried again until the timeout, then the error is [ErrBusy]. Without a predecessor it is [ErrNoPredecessor].
+// Connect connects to the predecessor of the gateway with the given name that listens at path, and receives its offer.
+// While the predecessor is busy, Connect tries again until the timeout and then returns [ErrBusy]. It returns
+// [ErrNoPredecessor] if no process listens at path.
 func Connect(path, name string, timeout time.Duration) (*Successor, error) {
 	for until := time.Now().Add(timeout); ; time.Sleep(busyRetryInterval) {
 		s, err := connect(path, name)
@@ -46,7 +47,7 @@
 		return nil, fmt.Errorf("handover: %s: not a socket of this user", path)
 	}
 	c, err := net.DialUnix("unix", nil, &net.UnixAddr{Name: path, Net: "unix"})
-	if errors.Is(err, syscall.ECONNREFUSED) { // the file is left from a process that was killed
+	if errors.Is(err, syscall.ECONNREFUSED) { // the socket file was left by a process that was killed
 		return nil, ErrNoPredecessor
 	}
 	if err != nil {
@@ -60,10 +61,10 @@
 	return s, nil
 }
 
-// handshake says hello and receives the offer.
+// handshake sends the hello frame and receives the offer.
 func (s *Successor) handshake(name string) error {
 	if !sameUser(s.conn.UnixConn) {
-		return errors.New("handover: another user's process")
+		return errors.New("handover: the predecessor is a process of another user")
 	}
 	content, _ := json.Marshal(hello{Version, name}) // cannot fail: plain values only
 	if err := s.conn.writeFrame(frameHello, content); err != nil {
@@ -73,13 +74,13 @@
 	if err == nil && f.kind == frameBusy {
 		err = ErrBusy
 	} else if err == nil && f.kind != frameOffer {
-		err = fmt.Errorf("handover: a frame of kind %d, no offer", f.kind)
+		err = fmt.Errorf("handover: received a frame of kind %d, want an offer or busy", f.kind)
 	}
 	if err == nil {
 		err = decode(f.content, &s.Offer)
 	}
 	if err == nil && len(f.files) != len(s.Offer.Files) {
-		err = fmt.Errorf("handover: %d files under %d names", len(f.files), len(s.Offer.Files))
+		err = fmt.Errorf("handover: the offer has %d descriptors for %d names", len(f.files), len(s.Offer.Files))
 	}
 	if err != nil {
 		closeAll(f.files)
@@ -91,7 +92,7 @@
 	return nil
 }
 
-// Listener returns the predecessor's listener at an address, nil if there is none.
+// Listener returns the predecessor's listener at an address, or nil if there is none.
 func (s *Successor) Listener(addr string) net.Listener {
 	f := s.file(ListenerName(addr))
 	if f == nil {
@@ -108,7 +109,7 @@
 	return l
 }
 
-// PacketConn returns the predecessor's datagram socket at an address, nil if there is none.
+// PacketConn returns the predecessor's datagram socket at an address, or nil if there is none.
 func (s *Successor) PacketConn(addr string) *net.UDPConn {
 	f := s.file(PacketConnName(addr))
 	if f == nil {
@@ -132,8 +133,8 @@
 	return s.files[name]
 }
 
-// ReceiveState makes the predecessor stop accepting, and returns its state. With an error there is no state, but the
-// sockets are this process's all the same.
+// ReceiveState makes the predecessor stop accepting connections and datagrams and returns its state. If it returns an
+// error, there is no state, but this process still owns the sockets that it received.
 func (s *Successor) ReceiveState() ([]byte, error) {
 	if err := s.conn.writeFrame(frameTake, nil); err != nil {
 		return nil, err
@@ -141,7 +142,7 @@
 	return s.conn.readState()
 }
 
-// Confirm tells the predecessor that this process is about to serve, and waits for its consent.
+// Confirm notifies the predecessor that this process is about to serve, and waits for its confirmation.
 func (s *Successor) Confirm() error {
 	if err := s.conn.writeFrame(frameDone, nil); err != nil {
 		return err
@@ -150,7 +151,8 @@
 	return err
 }
 
-// ReceiveUpdates calls handle for each update of the predecessor, and returns once that has exited.
+// ReceiveUpdates calls handle for each update of the predecessor. It returns when the predecessor has exited or the
+// connection fails.
 func (s *Successor) ReceiveUpdates(handle func(content []byte)) {
 	for {
 		content, err := s.conn.expect(frameUpdate, 0)
@@ -161,7 +163,7 @@
 	}
 }
 
-// Close ends the connection. Sockets that Listener and PacketConn have returned stay open.
+// Close closes the connection and the files of the offer. Sockets that Listener and PacketConn have returned stay open.
 func (s *Successor) Close() {
 	if s == nil {
 		return
