--- a/internal/daemon/handover/conn.go
+++ b/internal/daemon/handover/conn.go
@@ -84,7 +84,7 @@
 	}
 	size := binary.BigEndian.Uint32(header)
 	if size < 1 || size > maxFrameSize {
-		return f, fmt.Errorf("handover: frame has %d bytes, want 1 to %d", size, maxFrameSize)
+		return f, fmt.Errorf("handover: invalid frame length %d", size)
 	}
 	f.kind, f.content = frameKind(header[frameLengthSize]), make([]byte, size-1)
 	_, err = io.ReadFull(c, f.content)
--- a/internal/daemon/handover/doc.go
+++ b/internal/daemon/handover/doc.go
@@ -23,8 +23,8 @@
 // # Failures
 //
 // Connections and datagrams that arrive while neither process accepts wait in the sockets' queues, so that none is
-// lost. If the successor fails before it serves, or exits while its predecessor still runs, the predecessor serves again
-// (Process.Resume). An incomplete state is discarded as a whole, and the successor serves without it.
+// lost. If the successor fails before it serves, or exits while its predecessor still runs, the predecessor serves
+// again (Process.Resume). An incomplete state is discarded as a whole, and the successor serves without it.
 //
 // Neither side trusts the other: processes of other users are rejected, the sizes of frames and of the state are
 // limited, and every wait has a timeout.
--- a/internal/daemon/inflight/exchange.go
+++ b/internal/daemon/inflight/exchange.go
@@ -15,14 +15,14 @@
 
 // Balancer is the gateway's load balancer.
 type Balancer interface {
-	// ExchangeLoads calls weigh, under the balancer's lock, with the load that this gateway has at each server, and
-	// adds the loads that it returns, those of other gateways.
-	ExchangeLoads(weigh func(now policy.Time, own map[policy.ServerID]policy.OwnLoad) []policy.Load)
+	// ExchangeLoads calls exchange, under the balancer's lock, with the load that this gateway has at each server, and
+	// adds the loads that exchange returns, which are those of other gateways.
+	ExchangeLoads(exchange func(now policy.Time, own map[policy.ServerID]policy.OwnLoad) []policy.Load)
 }
 
 // Membership is the list of servers.
 type Membership interface {
-	// Incarnations returns the listed servers, in a new map on each call.
+	// Incarnations returns the incarnations of the listed servers, in a new map on each call.
 	Incarnations() map[policy.ServerID]discovery.Incarnation
 }
 
@@ -32,10 +32,10 @@
 	membership Membership
 	send       func(peer int, m []byte)
 
-	// mu guards the fields below. It is locked while the balancer's lock is held, never the other way round.
+	// mu guards the fields below. Lock order: the balancer's lock is acquired before mu, never after it.
 	mu             sync.Mutex
 	tracker        *Tracker
-	incarnations   map[policy.ServerID]discovery.Incarnation // that the tracker's members were set from
+	incarnations   map[policy.ServerID]discovery.Incarnation // from which the tracker's members were set
 	received, sent uint64
 }
 
@@ -58,7 +58,8 @@
 	}
 }
 
-// exchange gives the tracker the gateway's own load and the balancer the others', and sends the report that is due.
+// exchange passes the gateway's own load to the tracker and the other gateways' loads to the balancer, and sends the
+// report if one is due.
 func (e *Exchange) exchange() {
 	incarnations := e.membership.Incarnations()
 	var neighbors []int
@@ -84,7 +85,7 @@
 	}
 }
 
-// Receive takes a neighbor's report and gives the balancer the loads that follow.
+// Receive handles a neighbor's report and passes the resulting loads to the balancer.
 func (e *Exchange) Receive(from int, datagram []byte) {
 	e.balancer.ExchangeLoads(func(now policy.Time, _ map[policy.ServerID]policy.OwnLoad) []policy.Load {
 		e.mu.Lock()
@@ -102,14 +103,14 @@
 	return e.tracker.Seq()
 }
 
-// Resume continues the sequence numbers of this gateway's former process.
+// Resume continues the sequence numbers after seq, the last one of this gateway's previous process.
 func (e *Exchange) Resume(seq uint16) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.tracker.Resume(seq)
 }
 
-// Counters returns the numbers of reports that were sent, received and dropped.
+// Counters returns the numbers of reports that were sent, received and dropped, as log attributes.
 func (e *Exchange) Counters() []slog.Attr {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/daemon/inflight/exchange_test.go
+++ b/internal/daemon/inflight/exchange_test.go
@@ -12,7 +12,7 @@
 	"sprucelane.example/sprucelane/policy"
 )
 
-// Exchange sends the balancer's loads to the neighbors, and gives it the loads that they report.
+// Exchange sends the balancer's loads to the neighbors and passes the loads that they report to the balancer.
 func TestExchange(t *testing.T) {
 	balancer, membership := &fakeBalancer{own: map[policy.ServerID]policy.OwnLoad{}}, fakeMembership{}
 	for _, m := range instances(60) {
@@ -34,17 +34,17 @@
 	assert.Equal(t, "[told=6 heard=1 dropped=0]", fmt.Sprint(other.Counters()))
 }
 
-// fakeBalancer keeps the loads that it is given.
+// fakeBalancer records the loads that it receives.
 type fakeBalancer struct {
 	own   map[policy.ServerID]policy.OwnLoad
 	loads []policy.Load
 }
 
-func (c *fakeBalancer) ExchangeLoads(weigh func(policy.Time, map[policy.ServerID]policy.OwnLoad) []policy.Load) {
-	c.loads = weigh(time.Second, c.own)
+func (c *fakeBalancer) ExchangeLoads(exchange func(policy.Time, map[policy.ServerID]policy.OwnLoad) []policy.Load) {
+	c.loads = exchange(time.Second, c.own)
 }
 
-// fakeMembership is a list of servers.
+// fakeMembership is a fixed list of servers.
 type fakeMembership map[policy.ServerID]discovery.Incarnation
 
 func (l fakeMembership) Incarnations() map[policy.ServerID]discovery.Incarnation { return l }
--- a/internal/daemon/inflight/report.go
+++ b/internal/daemon/inflight/report.go
@@ -2,18 +2,20 @@
 
 // This file has the reports and their encoding.
 //
-// A report is a datagram: kind (1 byte), format version (1), sequence number (2, big endian), number of members with
-// failures (1); for each of those its hash (2) and the attempts that failed and that were made, in eighths (1 each);
-// then a hash (2) for each request in flight.
+// A report is a datagram with these fields (sizes in bytes; integers are big endian):
+//   - kind (1), format version (1), sequence number (2), number of members with failures (1)
+//   - for each member with failures: its hash (2), the attempts that failed (1) and the attempts that were made (1),
+//     both in eighths of an attempt
+//   - for each request in flight: the hash (2) of its member
 
 import (
 	"encoding/binary"
 )
 
-// A datagram is its kind, form, a count that rises with each, how many failing members it names, each with the attempts
-// that failed and were tried in steps, and a name of two bytes for each attempt out.
+// Encoding of a report, in bytes unless stated otherwise. Failed and made attempts are counted in steps of
+// 1/stepsPerAttempt.
 const (
-	// Kind is the first byte of a report. No other message between gateways starts with it.
+	// Kind is the first byte of a report. No other message between gateways starts with this byte.
 	Kind            = 0x74
 	formatVersion   = 2
 	headerSize      = 5
@@ -24,15 +26,16 @@
 	maxDatagramSize = 256
 )
 
-// report is what a gateway reports to its neighbors.
+// report has the requests in flight and the failures that a gateway reports to its neighbors.
 type report struct {
 	seq        uint16
 	receivedAt Time
-	inFlight   []uint16 // hash of the member, for each request
+	inFlight   []uint16 // for each request in flight, the hash of its member
 	failures   []failureCount
 }
 
-// failureCount is how many attempts at a member failed and were made lately, in steps of 1/stepsPerAttempt.
+// failureCount has the numbers of recent attempts at a member that failed and that were made, in steps of
+// 1/stepsPerAttempt.
 type failureCount struct {
 	hash             uint16
 	failed, attempts uint8
@@ -64,7 +67,7 @@
 // reportSeq returns the sequence number of a report.
 func reportSeq(m []byte) uint16 { return binary.BigEndian.Uint16(m[2:]) }
 
-// decodeReport decodes a datagram that isReport accepts.
+// decodeReport decodes a datagram, for which isReport must have returned true.
 func decodeReport(m []byte) *report {
 	r := &report{seq: reportSeq(m)}
 	n := int(m[4])
--- a/internal/daemon/inflight/simulation_test.go
+++ b/internal/daemon/inflight/simulation_test.go
@@ -12,8 +12,8 @@
 	"sprucelane.example/sprucelane/policy"
 )
 
-// simulation is a fleet in virtual time: real gateways, members with two workers each and a queue, and reports that are
-// delayed or lost.
+// simulation simulates a fleet in virtual time. It has the real decision module for each gateway, members with two
+// workers each and a queue, and reports that are delayed or lost.
 type simulation struct {
 	now            Time
 	rng            *rand.Rand
@@ -21,8 +21,8 @@
 	workersFreeAt  [][2]Time // of each member's two workers
 	timers         map[Time][]func()
 	latencies      []time.Duration
-	connections    map[[2]int]bool // pairs of a gateway and a member that it has sent a request to
-	failingMembers int             // number of members that fail half of their requests, from the first on
+	connections    map[[2]int]bool // pairs of a gateway and a member to which it has sent a request
+	failingMembers int             // the first failingMembers members fail half of their requests
 	failed         int
 }
 
@@ -36,13 +36,13 @@
 
 const tick = 5 * time.Millisecond
 
-// after schedules an event, at a multiple of tick.
+// after schedules an event at the first multiple of tick that is later than d from now.
 func (w *simulation) after(d time.Duration, do func()) {
 	at := (w.now + d + tick) / tick * tick
 	w.timers[at] = append(w.timers[at], do)
 }
 
-// Send implements policy.Host: the member fails the request or serves it in its queue.
+// Send implements policy.Host: the member fails the request or queues and serves it.
 func (h *host) Send(id policy.RequestID, to policy.ServerID, _ policy.Time) {
 	w, sent := h.sim, h.sim.now
 	w.connections[[2]int{h.number, int(to)}] = true
@@ -50,7 +50,7 @@
 	if w.workersFreeAt[to][1] < w.workersFreeAt[to][0] {
 		k = 1
 	}
-	if int(to) <= w.failingMembers && w.rng.IntN(2) == 0 { // failures are fast
+	if int(to) <= w.failingMembers && w.rng.IntN(2) == 0 { // failures are answered fast
 		w.after(2*time.Millisecond, func() {
 			w.failed++
 			h.gateway.Outcome(w.now, policy.Outcome{ID: id, Server: to, Elapsed: w.now - sent, Ending: policy.Errored})
@@ -122,7 +122,7 @@
 				updateLoads(h)
 			}
 		}
-		for k := w.rng.IntN(6); k > 0; k-- { // 500 requests a second; the members can serve 800
+		for k := w.rng.IntN(6); k > 0; k-- { // 500 requests per second; the members can serve 800
 			id++
 			h := w.hosts[w.rng.IntN(80)]
 			h.gateway.Request(w.now, policy.Request{ID: id, Customer: policy.CustomerID(id), Deadline: w.now + 4*time.Second,
@@ -133,8 +133,8 @@
 	return w
 }
 
-// Of 80 gateways that balance by their own requests alone, a tenth of the answers are slow though there is capacity
-// left. With reports the tail is shorter, and fewer connections are opened.
+// If 80 gateways balance only by their own requests, a tenth of the answers are slow although there is spare capacity.
+// With reports the latency tail is shorter and fewer connections are opened.
 func TestReportsShortenTail(t *testing.T) {
 	for seed := range uint64(2) {
 		alone, together := simulate(t, seed, 0, false), simulate(t, seed, 0, true)
@@ -147,8 +147,8 @@
 	}
 }
 
-// Five of 60 members fail half of their requests, at once, and so look idle. With reports, far fewer attempts fail,
-// and these members are still tried now and then.
+// Five of 60 members fail half of their requests immediately, and therefore look idle. With reports far fewer attempts
+// fail, and these members are still tried occasionally.
 func TestFailuresAreReported(t *testing.T) {
 	alone, together := simulate(t, 1, 5, false), simulate(t, 1, 5, true)
 	t.Logf("%d attempts failed alone, %d together", alone.failed, together.failed)
--- a/internal/daemon/inflight/subset.go
+++ b/internal/daemon/inflight/subset.go
@@ -1,6 +1,6 @@
 package inflight
 
-// This file has deterministic subsetting: which members a gateway prefers.
+// This file implements deterministic subsetting, which determines the members that a gateway prefers.
 
 import (
 	"hash/fnv"
@@ -10,19 +10,20 @@
 	"sprucelane.example/sprucelane/policy"
 )
 
-// subsetMargin is how many gateways' positions the subset reaches beyond the neighbors on either side.
+// subsetMargin is the number of gateways' positions by which the subset extends beyond the neighbors on either side.
 const subsetMargin = 1
 
 // Member is a pool member in the list of servers.
 type Member struct {
 	ID       policy.ServerID // differs from gateway to gateway
-	Instance string          // the name that all gateways know it by
+	Instance string          // the member's name, the same at all gateways
 }
 
 // SetMembers sets the list of members and computes the subset. Members are spread evenly on the ring in the order of
-// their hashes, gateways in the order of their numbers; the subset is the members within a number of gateways'
-// positions. All gateways compute it from the same data, so neighbors' subsets overlap, and every member is in about
-// as many of them.
+// their hashes, gateways in the order of their numbers. The subset consists of the members whose distance from this
+// gateway is at most half the number of neighbors plus subsetMargin, in positions of gateways. All gateways compute it
+// from the same data, so that neighbors' subsets overlap and every member is in about the same number of subsets.
+// Members whose hash is ambiguous are in no subset.
 func (t *Tracker) SetMembers(list []Member) {
 	t.members = t.members[:0]
 	for _, m := range list {
@@ -38,7 +39,7 @@
 	}
 }
 
-// instanceHash returns the two bytes that identify a member in reports: FNV-1a, folded.
+// instanceHash returns the hash that identifies a member in reports: 32-bit FNV-1a, folded to two bytes.
 func instanceHash(instance string) uint16 {
 	h := fnv.New32a()
 	h.Write([]byte(instance))
--- a/internal/daemon/inflight/tracker.go
+++ b/internal/daemon/inflight/tracker.go
@@ -1,6 +1,6 @@
 package inflight
 
-// This file has what a gateway makes of its neighbors' reports.
+// This file has the Tracker, which estimates the load of members from the neighbors' reports.
 
 import (
 	"math"
@@ -14,21 +14,22 @@
 type Time = policy.Time
 
 const (
-	// outsidePenalty is by how much a member outside the subset is taken to be busier than the subset's mean, as a
-	// fraction of that mean plus one.
+	// outsidePenalty is the amount by which a member outside the subset is assumed to be busier than the subset's mean,
+	// as a fraction of that mean plus one.
 	outsidePenalty = 0.3
-	// reportTTL is how long a neighbor's report counts.
+	// reportTTL is the time after which a neighbor's report expires.
 	reportTTL = time.Second
-	// intakeRatio is the part of a gateway's limit of incoming messages that the reports of all neighbors may use.
+	// intakeRatio is the fraction of a gateway's limit of incoming messages that the reports of all neighbors may use.
 	intakeRatio = 0.5
 	// minInterval is the shortest time between two reports.
 	minInterval = time.Second / 30
-	// refreshInterval is how often a report is repeated that has not changed. Two may be lost before it expires.
+	// refreshInterval is the interval at which an unchanged report is repeated. Two repetitions may be lost before the
+	// report expires.
 	refreshInterval = reportTTL / 3
 
-	// A member at which attempts fail is taken to be busier by failurePenalty times the fraction that fails, as if so
-	// many more requests were in flight there: otherwise a member that fails fast would look idle. failurePrior is a
-	// number of successes that is added to what was observed, so that a single failure counts little.
+	// The load of a member at which attempts fail is increased by failurePenalty requests in flight times the fraction
+	// of attempts that fail, because a member that fails fast would look idle otherwise. failurePrior is a number of
+	// successes that is added to the observed attempts, so that a single failure counts little.
 	failurePenalty = 20.0
 	failurePrior   = 2.0
 )
@@ -36,28 +37,28 @@
 // Tracker estimates the load of the pool members for one gateway. It is not safe for concurrent use.
 type Tracker struct {
 	self, gateways int
-	neighbors      []int         // numbers of the gateways that reports are exchanged with
+	neighbors      []int         // numbers of the gateways with which reports are exchanged
 	interval       time.Duration // between two calls of NextReport
-	members        []member      // by hash
+	members        []member      // sorted by hash
 	reports        map[int]*report
-	local          report // what this gateway reports
+	local          report // this gateway's own report
 	lastReportAt   Time
-	changed        bool // local is not what was reported last
+	changed        bool // local has changed since the last report
 	seq            uint16
-	dropped        uint64 // invalid reports
+	dropped        uint64 // number of invalid reports that were dropped
 }
 
 // member is a pool member on the ring.
 type member struct {
 	id        policy.ServerID
 	hash      uint16
-	ambiguous bool // another member has the same hash, so that reports on it are ignored
+	ambiguous bool // another member has the same hash, so reports on this hash are ignored
 	inSubset  bool
 }
 
-// New returns the tracker of gateway number self, whose peers may send it so many messages a second in all (intake;
-// 0: any number). It returns nil for a fleet so small that each gateway is every other's neighbor: the subset would
-// be the whole pool.
+// New returns the tracker of gateway number self in a fleet of the given number of gateways. intake is the limit of
+// messages per second that this gateway accepts from all peers together; 0 is no limit. New returns nil if the fleet is
+// so small that all gateways are neighbors of each other, because the subset would be the whole pool.
 func New(self, gateways int, intake float64) *Tracker {
 	neighbors := policy.NearbyGateways(self, gateways)
 	if len(neighbors) >= gateways-1 {
@@ -65,8 +66,8 @@
 	}
 	t := &Tracker{self: self, gateways: gateways, neighbors: neighbors, interval: minInterval, reports: map[int]*report{}}
 	if intake > 0 {
-		fromAll := float64(len(neighbors)) / (intakeRatio * intake) // seconds
-		t.interval = max(t.interval, time.Duration(fromAll*float64(time.Second)))
+		intervalSeconds := float64(len(neighbors)) / (intakeRatio * intake)
+		t.interval = max(t.interval, time.Duration(intervalSeconds*float64(time.Second)))
 	}
 	return t
 }
@@ -74,17 +75,17 @@
 // Seq returns the sequence number of the last report, for Resume.
 func (t *Tracker) Seq() uint16 { return t.seq }
 
-// Resume continues the sequence numbers of this gateway's former process. Neighbors would take the first reports for
-// reordered ones otherwise.
+// Resume continues the sequence numbers after seq, the last one of this gateway's previous process. Otherwise neighbors
+// would ignore the first reports as reordered.
 func (t *Tracker) Resume(seq uint16) { t.seq = seq }
 
-// Interval returns how often to call NextReport.
+// Interval returns the interval at which to call NextReport.
 func (t *Tracker) Interval() time.Duration { return t.interval }
 
 // Dropped returns the number of invalid reports that were dropped.
 func (t *Tracker) Dropped() uint64 { return t.dropped }
 
-// SetLocal sets what this gateway has in flight, and what failed, at each member.
+// SetLocal sets the requests that this gateway has in flight and its failed attempts at each member.
 func (t *Tracker) SetLocal(own map[policy.ServerID]policy.OwnLoad) {
 	var local report
 	for _, m := range t.members {
@@ -99,14 +100,15 @@
 			local.inFlight = append(local.inFlight, m.hash)
 		}
 	}
-	// A failure count that only decays needn't be reported at once.
+	// A failure count that has only decayed needn't be reported at once.
 	reported := func(x, y failureCount) bool { return x.hash == y.hash && x.failed <= y.failed }
 	t.changed = t.changed || !slices.Equal(local.inFlight, t.local.inFlight) ||
 		!slices.EqualFunc(local.failures, t.local.failures, reported)
 	t.local = local
 }
 
-// NextReport returns the report that is due now and the neighbors to send it to; none if they know it already.
+// NextReport returns the report that is due now and the neighbors to which to send it. It returns nil if nothing has
+// changed and no repetition is due.
 func (t *Tracker) NextReport(now Time) (neighbors []int, datagram []byte) {
 	empty := len(t.local.inFlight)+len(t.local.failures) == 0
 	if !t.changed && (empty || now-t.lastReportAt < refreshInterval) {
@@ -118,8 +120,8 @@
 	return t.neighbors, t.local.encode()
 }
 
-// Receive takes a neighbor's report. It ignores one that is older than the last one, and drops one that is invalid
-// or from a gateway that is no neighbor.
+// Receive handles a neighbor's report. It ignores a report that is older than the neighbor's last one, and drops a
+// report that is invalid or not from a neighbor.
 func (t *Tracker) Receive(now Time, from int, datagram []byte) {
 	if !isReport(datagram) || !slices.Contains(t.neighbors, from) {
 		t.dropped++
@@ -127,16 +129,17 @@
 	}
 	last, seq := t.reports[from], reportSeq(datagram)
 	if last != nil && int16(seq-last.seq) <= 0 && now-last.receivedAt < reportTTL {
-		return // reordered; after a time-out it would be another process's
+		return // reordered; once the last report has expired, a lower number is that of a new process
 	}
 	r := decodeReport(datagram)
 	r.receivedAt = now
 	t.reports[from] = r
 }
 
-// Loads returns for each member how many requests the other gateways are estimated to have in flight there. In the
-// subset that is what the neighbors report; the other members are taken to be as busy as the subset's mean and
-// somewhat more. A member at which attempts fail, here or at a neighbor, is taken to be busier.
+// Loads returns for each member the estimated number of requests that the other gateways have in flight there. For
+// members in the subset it is the number that the neighbors report; other members are assumed to be busier than the
+// subset's mean (see outsidePenalty). The estimate is increased for members at which attempts of this gateway or of a
+// neighbor fail (see failurePenalty).
 func (t *Tracker) Loads(now Time) []policy.Load {
 	inFlight, failed, attempts := map[uint16]int{}, map[uint16]float64{}, map[uint16]float64{}
 	addFailures := func(list []failureCount) {
--- a/internal/daemon/inflight/tracker_test.go
+++ b/internal/daemon/inflight/tracker_test.go
@@ -21,8 +21,8 @@
 	return list
 }
 
-// Gateways that list the members in another order, under other IDs, compute the same subsets; and over the fleet
-// each member is in about as many subsets as any other.
+// Gateways that list the members in a different order and under different IDs compute the same subsets. Across the
+// fleet each member is in about as many subsets as any other.
 func TestSubsetsCoverMembersEvenly(t *testing.T) {
 	list := instances(60)
 	in := map[string]int{}
@@ -49,15 +49,15 @@
 		}
 		assert.InDelta(t, 6.5, width, 1.5, "gateway %d", me)
 	}
-	assert.Greater(t, len(in), 57, "all but those with ambiguous hashes")
+	assert.Greater(t, len(in), 57, "all members except those with ambiguous hashes must be in a subset")
 	for name, n := range in {
 		assert.InDelta(t, 9, n, 3, name)
 	}
 	assert.Nil(t, New(0, 7, 100), "all gateways are neighbors")
 }
 
-// Neighbors' reports count for members of the subset; other members get the mean and a penalty. A report expires
-// after a second and is replaced by a later one. Reordered and invalid reports change nothing.
+// Neighbors' reports determine the load of members of the subset; other members get the mean plus a penalty. A report
+// expires after a second and is replaced by a later one. Reordered and invalid reports change nothing.
 func TestReports(t *testing.T) {
 	a, b := New(10, 80, 100), New(11, 80, 100)
 	list := instances(60)
@@ -105,14 +105,14 @@
 	assert.EqualValues(t, 7, b.Dropped())
 	in, _ = load(now)
 	assert.Zero(t, in)
-	b.Receive(now+2*reportTTL, 10, first) // after a time-out, it may be from a new process
+	b.Receive(now+2*reportTTL, 10, first) // after the last report has expired, it may be from a new process
 	in, _ = load(now + 2*reportTTL)
 	assert.Equal(t, 2.0, in)
 	in, _ = load(now + 4*reportTTL)
 	assert.Zero(t, in, "the report has expired")
 }
 
-// No report makes a tracker panic, or leads to a load out of bounds.
+// No datagram makes a tracker panic or leads to a load out of bounds.
 func FuzzReceive(f *testing.F) {
 	f.Add([]byte{Kind, formatVersion, 0, 1, 0, 3, 4}, 1)
 	f.Add([]byte{Kind, formatVersion, 0, 2, 1, 3, 4, 8, 9, 5, 6}, 1)
@@ -128,8 +128,9 @@
 	})
 }
 
-// Failures count by their fraction, summed over all neighbors, unless the member's hash is ambiguous. They expire
-// with the reports, and one failure among many answers counts next to nothing.
+// The load of a member increases with the fraction of attempts that fail, summed over all neighbors, unless the
+// member's hash is ambiguous. Failures expire with their reports, and one failure among many answers has hardly any
+// effect.
 func TestReportsOfFailures(t *testing.T) {
 	list := instances(60)
 	trackers := map[int]*Tracker{}
@@ -166,9 +167,9 @@
 	assert.InDelta(t, 1+failurePenalty/3, one, 0.1, "one failure counts little")
 	send(12, map[policy.ServerID]policy.OwnLoad{in.id: {Failures: 3, Attempts: 4}, out.id: {Failures: 2, Attempts: 2}})
 	assert.InDelta(t, 1+failurePenalty*4/7, load(in.id), 0.1)
-	assert.Greater(t, load(out.id), calm+failurePenalty/3, "outside the subset too")
+	assert.Greater(t, load(out.id), calm+failurePenalty/3, "failures must also count outside the subset")
 	b.SetLocal(map[policy.ServerID]policy.OwnLoad{in.id: {Failures: 1, Attempts: 60}})
-	assert.Less(t, load(in.id), 4.0, "outweighed by many answers here")
+	assert.Less(t, load(in.id), 4.0, "many answers of this gateway must outweigh the failures")
 	send(10, nil)
 	send(12, map[policy.ServerID]policy.OwnLoad{in.id: {Failures: 0.3, Attempts: 9}})
 	b.SetLocal(nil)
