--- a/internal/daemon/discovery/backoff.go
+++ b/internal/daemon/discovery/backoff.go
@@ -6,38 +6,38 @@
 	"time"
 )
 
-// A source that can't be reached is called again soon: it may be restarting, and calls cost it nothing. One that
-// rejects calls is busy, and what it works on while its queue is longer than its callers wait helps nobody, so only
-// fewer calls let it recover.
+// Constants of the backoff. An unreachable source is called again soon: it may be restarting, and calls cost it
+// nothing. A source that rejects calls is busy. While its queue is longer than its callers wait, its work is wasted, so
+// it recovers only if it gets fewer calls.
 const (
 	minBackoff         = 50 * time.Millisecond
-	maxUnreachableStep = 600 * time.Millisecond // pauses reach one and a half of a step
+	maxUnreachableStep = 600 * time.Millisecond // a pause is at most one and a half steps
 
-	// A rejected call is followed by the next one at most maxRejectedGap after the source's last answer (see
-	// updateDeadline), but a pause may take minRejectedGap in any case.
+	// The call after a rejected one begins at most maxRejectedGap after the source's last answer (see updateDeadline),
+	// except that the pause may always be as long as minRejectedGap.
 	maxRejectedGap = 5 * time.Second
 	minRejectedGap = time.Second
 
-	// firstRejectedDivisor of retryWithin is the first step after a rejection.
+	// The first step after a rejection is retryWithin divided by firstRejectedDivisor.
 	firstRejectedDivisor = 16
 	defaultRetryWithin   = 10 * time.Second
 )
 
-// Backoff computes the pauses after calls that failed: exponential and with jitter, as callers that fail together
-// must not come back together. Calls that aren't answered and calls that are rejected back off separately. It reads
-// no clock.
+// Backoff computes the pauses after failed calls. The pauses grow exponentially and have jitter, because callers that
+// fail at the same time must not retry at the same time. Unanswered and rejected calls have separate backoffs. A
+// Backoff reads no clock.
 type Backoff struct {
 	rng                           *rand.Rand
 	retryWithin                   time.Duration // longest step after a rejection
-	unreachableStep, rejectedStep time.Duration // the next ones
-	sinceAnswer                   time.Duration // calls and pauses since the source answered last, rejections included
+	unreachableStep, rejectedStep time.Duration // steps of the next pauses
+	sinceAnswer                   time.Duration // time of calls and pauses since the last answer, rejections included
 }
 
 // backoffStream separates the random numbers of backoffs from others that are drawn from the same seed.
 const backoffStream = 0x6469736376
 
-// NewBackoff returns a backoff whose jitter follows from a seed. A busy source is called again after at most about
-// retryWithin; 0 means 10 s.
+// NewBackoff returns a backoff whose jitter is determined by a seed. A busy source is called again after at most about
+// retryWithin; 0 means defaultRetryWithin.
 func NewBackoff(seed uint64, retryWithin time.Duration) *Backoff {
 	if retryWithin <= 0 {
 		retryWithin = defaultRetryWithin
@@ -47,12 +47,12 @@
 	return b
 }
 
-// reset starts over after an answer.
+// reset resets the steps after an answer.
 func (b *Backoff) reset() {
 	b.unreachableStep, b.rejectedStep, b.sinceAnswer = minBackoff, b.retryWithin/firstRejectedDivisor, 0
 }
 
-// afterFailure returns the pause after a call that failed after the time took.
+// afterFailure returns the pause after a call that failed with err after the duration took.
 func (b *Backoff) afterFailure(err error, took time.Duration) time.Duration {
 	if errors.As(err, new(statusError)) {
 		return b.afterRejection(took)
@@ -69,9 +69,10 @@
 	return pause
 }
 
-// afterRejection returns the pause after a call that was rejected after the time took: anything up to the step, which
-// is at least twice that time. The pause ends in time for maxRejectedGap. Where the step is longer than the time left
-// until then, the pause is drawn from the later part of that time: at least from its last quarter.
+// afterRejection returns the pause after a call that was rejected after the duration took. The pause is random, up to
+// the step, which is at least twice took unless retryWithin limits it, and ends in time for maxRejectedGap. If the step
+// is longer than the time left until then, the pause is drawn from the later part of that time, at the least from its
+// last quarter.
 func (b *Backoff) afterRejection(took time.Duration) time.Duration {
 	step := min(max(b.rejectedStep, 2*took), b.retryWithin)
 	b.rejectedStep = min(2*step, b.retryWithin)
--- a/internal/daemon/discovery/backoff_test.go
+++ b/internal/daemon/discovery/backoff_test.go
@@ -9,28 +9,29 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// busySource is a source in virtual time with one queue. It also works on calls whose callers have given up.
+// busySource is a source in virtual time with one queue. It also processes calls whose callers have timed out.
 type busySource struct {
-	perCall, patience, longest time.Duration
-	idleAt                     time.Duration // when all that is queued is done
+	perCall, callTimeout, maxQueueTime time.Duration
+	idleAt                             time.Duration // time when all queued calls are done
 }
 
-// call returns when a call ends, and whether it brings the list.
+// call returns the time when a call ends and whether it returns the list.
 func (s *busySource) call(now time.Duration) (end time.Duration, ok bool) {
 	begin := max(now, s.idleAt)
-	if begin-now > s.longest {
+	if begin-now > s.maxQueueTime {
 		return now + 3*time.Millisecond, false
 	}
 	s.idleAt = begin + s.perCall
-	if begin-now > s.patience {
-		return now + s.patience, false
+	if begin-now > s.callTimeout {
+		return now + s.callTimeout, false
 	}
 	return s.idleAt, true
 }
 
-// herd lets callers call at once and again after each failure, and returns when each got its list, sorted.
+// herd simulates callers that all call at the same time and retry after each failure. It returns the sorted times at
+// which they received their lists.
 func herd(callers int, pause func(caller int, took time.Duration) time.Duration) (got []time.Duration) {
-	s := &busySource{perCall: time.Second / 15, patience: 2 * time.Second, longest: 4 * time.Second}
+	s := &busySource{perCall: time.Second / 15, callTimeout: 2 * time.Second, maxQueueTime: 4 * time.Second}
 	next := make([]time.Duration, callers)
 	for range 20 * callers {
 		i := 0
@@ -54,11 +55,11 @@
 	return got
 }
 
-// Eighty gateways start at once, and their source answers fifteen calls a second. With pauses of a second the queue
-// stays longer than any caller waits; with backoff and jitter all of them get their lists.
-func TestHerdGetsItsLists(t *testing.T) {
+// Eighty gateways start at once, and their source answers fifteen calls per second. With fixed pauses of a second the
+// queue stays longer than any caller waits; with backoff and jitter all gateways get their lists.
+func TestThunderingHerdGetsLists(t *testing.T) {
 	fixed := herd(80, func(int, time.Duration) time.Duration { return time.Second })
-	assert.Less(t, len(fixed), 60, "the model shows the jam")
+	assert.Less(t, len(fixed), 60, "with fixed pauses the model must show the congestion")
 	for seed := range uint64(20) {
 		all := make([]*Backoff, 80)
 		for i := range all {
@@ -72,7 +73,7 @@
 	}
 }
 
-// Pauses grow to their limit, separately for both kinds of failure, are spread, and start over after an answer.
+// Pauses grow to their limit, separately for both kinds of failure, have jitter, and are reset after an answer.
 func TestPausesGrow(t *testing.T) {
 	p, other := NewBackoff(1, 8*time.Second), NewBackoff(2, 8*time.Second)
 	assert.NotEqual(t, p.afterRejection(0), other.afterRejection(0))
@@ -82,7 +83,7 @@
 	}
 	assert.Greater(t, longest, 4500*time.Millisecond)
 	assert.LessOrEqual(t, longest, maxRejectedGap)
-	assert.LessOrEqual(t, p.afterUnreachable(), 3*minBackoff/2, "an unreachable source is none that is busy")
+	assert.LessOrEqual(t, p.afterUnreachable(), 3*minBackoff/2, "must be independent of rejections")
 	for range 20 {
 		assert.LessOrEqual(t, p.afterUnreachable(), 3*maxUnreachableStep/2)
 	}
@@ -92,8 +93,8 @@
 	assert.Equal(t, defaultRetryWithin, NewBackoff(1, 0).retryWithin)
 }
 
-// After any one failure, and after a call that timed out and one that was rejected, the next call begins within five
-// seconds of the first: a second before updateDeadline.
+// After any one failed call, and after a call that timed out followed by a rejected one, the next call begins within
+// five seconds of the start of the first, which is a second before updateDeadline.
 func TestNextCallIsInTime(t *testing.T) {
 	const most = updateDeadline - time.Second
 	given, refused := longPollWait+longPollSlack, statusError(503)
@@ -104,11 +105,11 @@
 			p.afterUnreachable()
 		}
 		for _, took := range []time.Duration{0, given / 2, given} {
-			assert.LessOrEqual(t, took+p.afterFailure(refused, took), most, "refused after %v", took)
-			assert.LessOrEqual(t, took+p.afterFailure(context.DeadlineExceeded, took), most, "given up or broken after %v", took)
+			assert.LessOrEqual(t, took+p.afterFailure(refused, took), most, "rejected after %v", took)
+			assert.LessOrEqual(t, took+p.afterFailure(context.DeadlineExceeded, took), most, "unanswered after %v", took)
 			p.afterFailure(refused, 0) // the source has answered
 		}
 		first := given + p.afterFailure(context.DeadlineExceeded, given)
-		assert.LessOrEqual(t, first+p.afterFailure(refused, 0), most, "given up, then refused")
+		assert.LessOrEqual(t, first+p.afterFailure(refused, 0), most, "timed out, then rejected")
 	}
 }
--- a/internal/daemon/discovery/client.go
+++ b/internal/daemon/discovery/client.go
@@ -12,14 +12,14 @@
 
 const (
 	connectTimeout = time.Second
-	maxListSize    = 8 << 20 // bytes of a list; a longer one is cut off there, and doesn't parse
-	maxDiscarded   = 4 << 10 // bytes of an error's body that are read so that its connection can be used again
+	maxListSize    = 8 << 20 // bytes of a list; a longer list is truncated and fails to decode
+	maxDiscarded   = 4 << 10 // bytes of an error's body that are read so that the connection can be reused
 )
 
-// client makes calls of a source.
+// client makes HTTP calls to a source.
 type client struct {
 	baseURL string
-	token   string // Consul's; empty: none
+	token   string // Consul ACL token; empty: none
 	http    *http.Client
 }
 
@@ -28,13 +28,14 @@
 		DialContext: (&net.Dialer{Timeout: connectTimeout}).DialContext}}
 }
 
-// statusError is the status of an answer that is not 200: the source is there, but rejects the call.
+// statusError is the status of an answer other than 200: the source is reachable but rejects the call.
 type statusError int
 
 func (s statusError) Error() string { return "status " + strconv.Itoa(int(s)) }
 
-// get makes one call, and decodes the JSON of its answer. A call that takes longer than timeout fails. An answer with
-// a status other than 200 is a [statusError].
+// get makes one call and decodes the JSON of its answer into the value that into points to. It returns the answer's
+// header. A call that takes longer than timeout fails. For an answer with a status other than 200 the error is a
+// [statusError].
 func (c *client) get(ctx context.Context, path string, timeout time.Duration, into any) (http.Header, error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
--- a/internal/daemon/discovery/consul.go
+++ b/internal/daemon/discovery/consul.go
@@ -13,15 +13,15 @@
 	"sprucelane.example/sprucelane/policy"
 )
 
-// Consul names a service in a Consul agent's catalogue. Its fields are keys of the site file.
+// Consul identifies a service in a Consul agent's catalogue. Its fields are keys of the site file.
 type Consul struct {
 	Addr    string // host:port of the agent; required
 	Service string // name of the service; required
-	Tag     string // that instances must have; empty: any
+	Tag     string // tag that instances must have; empty: any
 	Token   string // ACL token; empty: none
 }
 
-// consulHealthEntry is an instance in the answer of /v1/health/service/.
+// consulHealthEntry is an instance in an answer of /v1/health/service/.
 type consulHealthEntry struct {
 	Node    struct{ Node, Address, Datacenter string }
 	Service struct {
@@ -33,7 +33,8 @@
 	Checks []struct{ Status string }
 }
 
-// consulCatalogEntry is an instance in the answer of /v1/catalog/service/, which has the same without checks, flat.
+// consulCatalogEntry is an instance in an answer of /v1/catalog/service/, which has the same data in a flat structure
+// and without checks.
 type consulCatalogEntry struct {
 	Node, Address, Datacenter, ServiceID, ServiceAddress string
 	ServicePort                                          int
@@ -41,14 +42,15 @@
 	ServiceWeights                                       struct{ Passing float64 }
 }
 
-// consulMaxWait is how long an agent may take to answer a blocking query: Consul adds up to a sixteenth to the wait,
-// to spread its clients.
+// consulMaxWait is the maximum time that an agent may take to answer a blocking query: Consul adds up to a sixteenth to
+// the requested wait, to spread its clients.
 const consulMaxWait = longPollWait*17/16 + longPollSlack
 
-// WatchConsul follows a service with Consul's blocking queries until ctx ends. Where the agent rejects the health
-// endpoint or lacks it, the catalogue is asked in its place, which has no health; and the other way round.
+// WatchConsul follows a service with Consul's blocking queries until ctx ends. If the agent rejects the health endpoint
+// or doesn't have it, WatchConsul queries the catalogue endpoint instead, which has no health checks, and vice versa.
 //
-// As Consul documents for blocking queries, an index that goes back restarts at 0: the agent has lost its state.
+// If the index goes back, the agent has lost its state, and the watch restarts at index 0, as Consul documents for
+// blocking queries.
 func WatchConsul(ctx context.Context, at Consul, backoff *Backoff, m *Membership) {
 	c := &client{baseURL: "http://" + at.Addr, http: newHTTP(), token: at.Token}
 	defer c.http.CloseIdleConnections()
@@ -70,7 +72,7 @@
 			if ctx.Err() == nil {
 				slog.Warn("consul_failed", "service", at.Service, "catalogue", useCatalog, "err", err)
 			}
-			index = 0 // the next answer has the whole list at once
+			index = 0 // so that the next call is answered at once, with the whole list
 			m.RecordFailure(err)
 			sleep(ctx, backoff.afterFailure(err, time.Since(start)))
 			continue
@@ -97,7 +99,7 @@
 	}
 }
 
-// query returns the service and the parameters of a blocking query for changes after an index.
+// query returns the part of a URL with the service and the parameters of a blocking query for changes after an index.
 func (at Consul) query(index uint64) string {
 	q := url.Values{"index": {strconv.FormatUint(index, 10)}, "wait": {longPollWait.String()}}
 	if at.Tag != "" {
@@ -106,7 +108,7 @@
 	return url.PathEscape(at.Service) + "?" + q.Encode()
 }
 
-// consulInstances returns an answer's instances; one of the two lists is empty.
+// consulInstances returns the instances of an answer in the platform's format. One of the two lists is empty.
 func consulInstances(health []consulHealthEntry, catalog []consulCatalogEntry) []Instance {
 	list := make([]Instance, 0, len(health)+len(catalog))
 	for _, h := range health {
@@ -118,7 +120,7 @@
 	return list
 }
 
-// healthEntry returns the entry as the health endpoint would, without checks.
+// healthEntry converts the entry to the format of the health endpoint, without checks.
 func (c consulCatalogEntry) healthEntry() (h consulHealthEntry) {
 	h.Node.Node, h.Node.Address, h.Node.Datacenter = c.Node, c.Address, c.Datacenter
 	h.Service.ID, h.Service.Address, h.Service.Port = c.ServiceID, c.ServiceAddress, c.ServicePort
@@ -126,8 +128,8 @@
 	return h
 }
 
-// instance returns the entry in the platform's format. An instance with a critical check, maintenance mode included, is
-// draining: it gets no new requests.
+// instance converts the entry to the platform's format. An instance with a critical check or in maintenance mode gets
+// the lifecycle draining, so that it gets no new requests.
 func (h consulHealthEntry) instance() Instance {
 	host := h.Service.Address
 	if host == "" {
--- a/internal/daemon/discovery/list.go
+++ b/internal/daemon/discovery/list.go
@@ -2,9 +2,10 @@
 
 import "sprucelane.example/sprucelane/policy"
 
-// List is a list of instances in the platform's format: all of them if Reset is set, otherwise those that changed.
+// List is a list of instances in the platform's format: all instances if Reset is set, otherwise those that have
+// changed.
 type List struct {
-	Generation uint64     `json:"generation"` // version of the source's list, which rises with each change
+	Generation uint64     `json:"generation"` // version of the source's list, which increases with each change
 	Reset      bool       `json:"reset"`
 	Instances  []Instance `json:"instances"`
 }
@@ -15,13 +16,13 @@
 	Addr      string  `json:"hostPort"`
 	Zone      string  `json:"zone"`
 	Kind      string  `json:"machineType"`
-	Cell      int     `json:"cell"`        // failure domain; a cell may share what deduplicates keyed requests
+	Cell      int     `json:"cell"`        // failure domain; its servers may share deduplication of keyed requests
 	Lifecycle string  `json:"lifecycle"`   // a key of serverStates
 	Weight    float64 `json:"weight"`      // relative to other servers
-	StartedMs int64   `json:"startedAtMs"` // start of the present process, in Unix ms; 0: unknown
+	StartedMs int64   `json:"startedAtMs"` // start of the current process, in Unix ms; 0: unknown
 }
 
-// serverStates maps the platform's lifecycles.
+// serverStates maps the platform's lifecycles to the policy's server states.
 var serverStates = map[string]policy.ServerState{
 	"up":       policy.Ready,
 	"draining": policy.Draining,
--- a/internal/daemon/discovery/membership.go
+++ b/internal/daemon/discovery/membership.go
@@ -12,22 +12,22 @@
 	"sprucelane.example/sprucelane/policy"
 )
 
-// Pool takes in where servers are. It gets each change before the policy does.
+// Pool receives the servers' addresses and states. It receives each change before the policy does.
 type Pool interface {
 	Set(id policy.ServerID, addr string, state policy.ServerState)
 }
 
-// Membership holds the listed instances with their server IDs, and passes lists on to the pool and the policy. Apply
-// and ImportState must not be called concurrently with each other; the other methods may be called at any time.
+// Membership holds the listed instances with their server IDs and passes lists to the pool and the policy. Apply and
+// ImportState must not be called concurrently with each other; the other methods may be called at any time.
 type Membership struct {
 	pool         Pool
-	onList       func(policy.ListKind, []policy.ServerInfo) // the policy's
-	zones, kinds []string                                   // names, by the policy's numbers
-	lastID       policy.ServerID                            // the highest given so far; IDs begin at 1
+	onList       func(policy.ListKind, []policy.ServerInfo) // passes a list to the policy
+	zones, kinds []string                                   // names, indexed by the policy's numbers
+	lastID       policy.ServerID                            // highest ID assigned so far; IDs begin at 1
 
-	mu         sync.Mutex // guards what follows; not held while onList runs
+	mu         sync.Mutex // guards the fields below; not held while onList runs
 	instances  map[string]*numbered
-	version    uint64 // of the list that was applied last
+	version    uint64 // version of the list that was applied last
 	lastAnswer time.Time
 	calls      Calls
 }
@@ -38,18 +38,19 @@
 	instance Instance
 }
 
-// NewMembership returns an empty membership. zones and kinds are the names in the order of the policy's numbers.
+// NewMembership returns an empty membership. onList passes a list to the policy. zones and kinds are the names of zones
+// and machine types in the order of the policy's numbers.
 func NewMembership(pool Pool, onList func(policy.ListKind, []policy.ServerInfo), zones, kinds []string) *Membership {
 	return &Membership{pool: pool, onList: onList, zones: zones, kinds: kinds, instances: map[string]*numbered{},
 		lastAnswer: time.Now()}
 }
 
-// Apply takes in a list, or changes, from the source. Malformed entries are left out and logged.
+// Apply applies a list or changes from the source. Malformed entries are skipped and logged.
 func (m *Membership) Apply(kind policy.ListKind, list []Instance) {
 	m.onList(kind, m.update(kind, list))
 }
 
-// update brings the instances and the pool up to date, and returns the list as the policy takes it.
+// update updates the instances and the pool, and returns the list in the policy's format.
 func (m *Membership) update(kind policy.ListKind, list []Instance) []policy.ServerInfo {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -67,7 +68,7 @@
 			n = &numbered{id: m.lastID}
 			m.instances[in.ID] = n
 		}
-		if in.Addr == "" { // of one that departs
+		if in.Addr == "" { // a departing instance may be listed without its address
 			in.Addr = n.instance.Addr
 		}
 		n.instance, listed[in.ID] = in, true
@@ -85,7 +86,7 @@
 			delete(m.instances, in.ID)
 		}
 	}
-	if kind != policy.ListChanges { // a whole list: what it doesn't have has departed
+	if kind != policy.ListChanges { // a whole list: instances that it doesn't contain have departed
 		for id, n := range m.instances {
 			if !listed[id] {
 				m.pool.Set(n.id, n.instance.Addr, policy.Departed)
@@ -96,8 +97,8 @@
 	return infos
 }
 
-// indexOf returns the index of a name, len(names) if it is not among them: unknown names share a number that no known
-// one has.
+// indexOf returns the index of a name, or len(names) if names doesn't contain it: all unknown names share one number
+// that no known name has.
 func indexOf(names []string, name string) int {
 	if i := slices.Index(names, name); i >= 0 {
 		return i
@@ -119,7 +120,7 @@
 	m.version = generation
 }
 
-// Incarnations returns the present incarnation of each listed server, in a new map.
+// Incarnations returns the current incarnation of each listed server, in a new map.
 func (m *Membership) Incarnations() map[policy.ServerID]Incarnation {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -132,9 +133,9 @@
 
 // Calls counts the calls of the source by their results.
 type Calls struct {
-	Answered   uint64 // with a list, or with the news that nothing has changed
+	Answered   uint64 // with a list, or with the result that nothing has changed
 	Rejected   uint64 // with a status other than 200
-	Unanswered uint64 // not answered in time, broken off, or with an answer that couldn't be read
+	Unanswered uint64 // timed out, connection lost, or answer not decodable
 }
 
 // Calls returns the counts so far.
@@ -152,7 +153,7 @@
 	m.calls.Answered++
 }
 
-// RecordFailure records a call that brought no list.
+// RecordFailure records a failed call, as rejected or as unanswered depending on err.
 func (m *Membership) RecordFailure(err error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -163,15 +164,16 @@
 	}
 }
 
-// SinceLastAnswer returns the time since the source has answered, or since the membership was made.
+// SinceLastAnswer returns the time since the source's last answer, or since the membership was created if there was
+// none.
 func (m *Membership) SinceLastAnswer() time.Duration {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return time.Since(m.lastAnswer)
 }
 
-// State is what a membership hands over to that of another process of the gateway. Its JSON is the format between
-// versions of the program.
+// State is the state of a membership that another process of the gateway takes over. Its JSON encoding is exchanged
+// between different versions of the program.
 type State struct {
 	Generation uint64             `json:"generation"`
 	LastID     policy.ServerID    `json:"last"`
@@ -184,7 +186,7 @@
 	Instance
 }
 
-// ExportState returns what the membership holds, for ImportState.
+// ExportState returns the membership's state, for ImportState.
 func (m *Membership) ExportState() State {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -196,8 +198,9 @@
 	return state
 }
 
-// ImportState takes over the server IDs and the list of another process of the same gateway, and passes the list on. It
-// must come before any other list. An inconsistent state is rejected and changes nothing.
+// ImportState takes over the server IDs and the list of another process of the same gateway, and passes the list to the
+// pool and the policy. It must be called before any list is applied. It rejects an inconsistent state with an error and
+// then changes nothing.
 func (m *Membership) ImportState(state State) error {
 	seen := map[policy.ServerID]bool{}
 	for _, n := range state.Instances {
--- a/internal/daemon/discovery/watch.go
+++ b/internal/daemon/discovery/watch.go
@@ -11,39 +11,39 @@
 	"sprucelane.example/sprucelane/policy"
 )
 
-// The platform holds a gateway to know what a source could have told it updateDeadline before. So after one call that
-// fails in any way, the next one must still be answered in time:
+// The platform requires a gateway to know a change at most updateDeadline after the source could have sent it. After
+// one call that fails in any way, the next call must therefore still be answered in time. The time until that call is:
 //
-//	timed out:                   longPollWait + longPollSlack = 3.0 s with the connecting, and a pause of 0.9 s at most
-//	broken off:                  the same pause at most
+//	timed out:                   longPollWait + longPollSlack = 3.0 s, connecting included, and a pause of at most 0.9 s
+//	connection lost:             a pause of at most 0.9 s
 //	rejected:                    a pause of 5 s (maxRejectedGap) less the time since the last answer, at least 1 s
 //	timed out and then rejected: 3.9 s, and a pause of 1.1 s
 //
-// which leaves 1 s for the answer. A call isn't given up sooner than that: one that waits in the queue of a busy source
-// and is dropped then has cost the source its work for nothing.
+// This leaves 1 s for the answer. Calls have no shorter timeout, because a source may be busy: the work for a call that
+// waits in its queue and is then abandoned is wasted.
 const (
 	updateDeadline = 6 * time.Second
-	longPollWait   = 2500 * time.Millisecond // after which the source answers that nothing has changed
-	longPollSlack  = 500 * time.Millisecond  // for that answer to arrive
+	longPollWait   = 2500 * time.Millisecond // time after which the source answers that nothing has changed
+	longPollSlack  = 500 * time.Millisecond  // time for that answer to arrive
 )
 
-// WatchStart says where a watch begins.
+// WatchStart is the starting point of a watch.
 type WatchStart struct {
 	Addr    string // host:port of the platform's agent
-	Version uint64 // of the list that is held already
-	// WholeList requests the whole list first, as what another agent sent can't be relied on.
+	Version uint64 // version of the list that the membership already holds
+	// WholeList requests the whole list first, because a list from another agent can't be relied on.
 	WholeList bool
 }
 
-// Watch follows the platform's agent with long polls until ctx ends, from the held version of the list. After a
-// failure it goes on from the last version that it received: where many gateways start at once, a whole list for each
-// and then a long poll is more than the source can bear.
+// Watch follows the platform's agent with long polls until ctx ends, starting from the held version of the list. After
+// a failure it continues from the last version that it received: if many gateways start at once, sending each of them
+// a whole list and then a long poll would overload the source.
 //
 // The whole list is requested only
-//   - if the watch is to start with it;
-//   - if the source's version goes back: it has lost its state, and changes would be missed;
-//   - if nothing listened at the address: an agent that restarts may count its versions from the beginning, and be
-//     past the held one by the time it is called.
+//   - if start.WholeList is set;
+//   - if the source's version goes back, because the source has lost its state and changes would be missed;
+//   - if the connection was refused, because a restarting agent may count its versions from the beginning and have
+//     passed the held version by the time of the next call.
 func Watch(ctx context.Context, start WatchStart, backoff *Backoff, m *Membership) {
 	c := &client{baseURL: "http://" + start.Addr, http: newHTTP()}
 	defer c.http.CloseIdleConnections()
@@ -85,7 +85,7 @@
 	}
 }
 
-// sleep waits until the pause or ctx ends.
+// sleep waits until the pause is over or ctx ends.
 func sleep(ctx context.Context, pause time.Duration) {
 	timer := time.NewTimer(pause)
 	defer timer.Stop()
--- a/internal/daemon/discovery/watch_test.go
+++ b/internal/daemon/discovery/watch_test.go
@@ -16,7 +16,7 @@
 	"sprucelane.example/sprucelane/policy"
 )
 
-// recorder records the calls of the pool and the policy in their order.
+// recorder records the calls of the pool and the policy in order.
 type recorder chan string
 
 func (h recorder) Set(id policy.ServerID, addr string, state policy.ServerState) {
@@ -43,8 +43,8 @@
 	return h, NewMembership(h, h.onList, []string{"east", "west"}, nil)
 }
 
-// agent is a fake agent that answers each request with the next step of a script, and after its end not at all.
-// requests returns what it was asked.
+// agent starts a fake agent that answers each request with the next of steps, and doesn't answer further requests.
+// requests returns the URLs that were requested so far.
 func agent(t *testing.T, steps ...http.HandlerFunc) (addr string, requests func() []*url.URL) {
 	var mu sync.Mutex
 	var urls []*url.URL
@@ -67,16 +67,16 @@
 	}
 }
 
-func says(index, body string) http.HandlerFunc {
+func respond(index, body string) http.HandlerFunc {
 	return func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("X-Consul-Index", index)
 		fmt.Fprint(w, body)
 	}
 }
 
-func silent(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() }
+func stall(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() }
 
-func fails(code int) http.HandlerFunc {
+func respondStatus(code int) http.HandlerFunc {
 	return func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(code) }
 }
 
@@ -87,7 +87,8 @@
 	t.Cleanup(func() { stop(); done.Wait() })
 }
 
-// An instance keeps its server ID when its address changes; another process of it shows by its time of start.
+// An instance keeps its server ID when its address changes. A new process of an instance is recognized by its start
+// time.
 func TestRosterKeepsNumbers(t *testing.T) {
 	h, r := recordedMembership()
 	r.Apply(policy.ListCached, []Instance{{ID: "a", Addr: "h:1", Zone: "west", Lifecycle: "up"}, {ID: "b", Addr: "h:2", Lifecycle: "up"}})
@@ -96,21 +97,21 @@
 	r.Apply(policy.ListFull, []Instance{{ID: "a", Addr: "h:9", Zone: "west", Lifecycle: "up"}})
 	h.expect(t, "pool 1 h:1 0", "pool 2 h:2 0", "module 2: 1/1/0/0 2/2/0/0",
 		"pool 1 h:9 2", "module 0: 1/1/2/7",
-		"pool 1 h:9 0", "pool 2 h:2 1", "module 1: 1/1/0/0") // what a whole list lacks has departed
+		"pool 1 h:9 0", "pool 2 h:2 1", "module 1: 1/1/0/0") // an instance that a whole list lacks has departed
 }
 
-// The watch begins at the held version. After a time-out or a rejection it goes on from the last version; the agent
+// The watch starts at the held version. After a timeout or a rejection it continues from the last version; the agent
 // decides whether it sends the whole list or changes.
 func TestWatchGoesOn(t *testing.T) {
 	h, r := recordedMembership()
 	addr, asked := agent(t,
-		says("", `{"generation":5,"reset":true,"instances":[{"instanceId":"a","hostPort":"h:1","lifecycle":"up"}]}`),
-		silent,
-		says("", `{"generation":6,"reset":false,"instances":[{"instanceId":"a","lifecycle":"removed"}]}`),
-		fails(503),
-		says("", `{"generation":6,"reset":false,"instances":[]}`),
-		says("", `{"generation":2,"reset":false,"instances":[]}`), // it has lost its state
-		says("", `{"generation":3,"reset":true,"instances":[]}`))
+		respond("", `{"generation":5,"reset":true,"instances":[{"instanceId":"a","hostPort":"h:1","lifecycle":"up"}]}`),
+		stall,
+		respond("", `{"generation":6,"reset":false,"instances":[{"instanceId":"a","lifecycle":"removed"}]}`),
+		respondStatus(503),
+		respond("", `{"generation":6,"reset":false,"instances":[]}`),
+		respond("", `{"generation":2,"reset":false,"instances":[]}`), // the agent has lost its state
+		respond("", `{"generation":3,"reset":true,"instances":[]}`))
 	watch(t, func(ctx context.Context) {
 		Watch(ctx, WatchStart{Addr: addr, Version: 4}, NewBackoff(1, 100*time.Millisecond), r)
 	})
@@ -125,11 +126,11 @@
 	assert.Equal(t, Calls{Answered: 5, Rejected: 1, Unanswered: 1}, r.Calls())
 }
 
-// Of another source the whole list is requested, until it comes.
-func TestWatchAnew(t *testing.T) {
+// When the source changes, the whole list is requested until it is received.
+func TestWatchRequestsWholeList(t *testing.T) {
 	h, r := recordedMembership()
-	addr, asked := agent(t, says("", `{"generation":9,"reset":false,"instances":[]}`),
-		says("", `{"generation":9,"reset":true,"instances":[{"instanceId":"a","hostPort":"h:1","lifecycle":"up"}]}`))
+	addr, asked := agent(t, respond("", `{"generation":9,"reset":false,"instances":[]}`),
+		respond("", `{"generation":9,"reset":true,"instances":[{"instanceId":"a","hostPort":"h:1","lifecycle":"up"}]}`))
 	watch(t, func(ctx context.Context) {
 		Watch(ctx, WatchStart{Addr: addr, Version: 4, WholeList: true}, NewBackoff(1, 0), r)
 	})
@@ -140,15 +141,16 @@
 
 const node = `"Node":{"Node":"n1","Address":"10.0.0.1","Datacenter":"east"},"Service":{"ID":"s1","Port":80,"Meta":{"started_at_ms":"5"}}`
 
-// Blocking queries go on from the index, an index that goes back restarts them, and a critical check means draining.
+// Blocking queries continue from the index, an index that goes back restarts them at 0, and a critical check is mapped
+// to draining.
 func TestConsulHealth(t *testing.T) {
 	h, r := recordedMembership()
 	addr, asked := agent(t,
-		says("40", `[{`+node+`,"Checks":[{"Status":"passing"}]}]`),
-		says("40", `[{`+node+`,"Checks":[{"Status":"critical"}]}]`), // the wait ended without a change
-		says("41", `[{`+node+`,"Checks":[{"Status":"passing"},{"Status":"critical"}]}]`),
-		says("3", `[]`),
-		says("3", `[{`+node+`}]`))
+		respond("40", `[{`+node+`,"Checks":[{"Status":"passing"}]}]`),
+		respond("40", `[{`+node+`,"Checks":[{"Status":"critical"}]}]`), // the wait ended without a change
+		respond("41", `[{`+node+`,"Checks":[{"Status":"passing"},{"Status":"critical"}]}]`),
+		respond("3", `[]`),
+		respond("3", `[{`+node+`}]`))
 	watch(t, func(ctx context.Context) {
 		WatchConsul(ctx, Consul{Addr: addr, Service: "monitor node", Tag: "v2"}, NewBackoff(1, 0), r)
 	})
@@ -163,11 +165,11 @@
 	assert.Equal(t, []string{"0", "40", "40", "41", "0"}, got)
 }
 
-// Where the health endpoint is rejected or missing, the catalogue is asked.
+// If the health endpoint is rejected or missing, the catalogue endpoint is queried.
 func TestConsulCatalogue(t *testing.T) {
 	h, r := recordedMembership()
-	addr, asked := agent(t, fails(403),
-		says("9", `[{"Node":"n1","Address":"10.0.0.1","Datacenter":"west","ServiceID":"s1","ServiceAddress":"10.0.0.2","ServicePort":81}]`))
+	addr, asked := agent(t, respondStatus(403),
+		respond("9", `[{"Node":"n1","Address":"10.0.0.1","Datacenter":"west","ServiceID":"s1","ServiceAddress":"10.0.0.2","ServicePort":81}]`))
 	watch(t, func(ctx context.Context) { WatchConsul(ctx, Consul{Addr: addr, Service: "m"}, NewBackoff(1, 0), r) })
 	h.expect(t, "pool 1 10.0.0.2:81 0", "module 1: 1/1/0/0")
 	assert.Equal(t, "/v1/catalog/service/m", asked()[1].Path)
--- a/internal/daemon/discovery/watchfaults_test.go
+++ b/internal/daemon/discovery/watchfaults_test.go
@@ -17,11 +17,11 @@
 
 const drains = `{"generation":6,"reset":false,"instances":[{"instanceId":"a","hostPort":"h:1","lifecycle":"draining"}]}`
 
-// A server begins to drain at the moment at which the call that would report it fails, in any way: the policy knows
-// within updateDeadline.
+// A server begins to drain at the moment when the call that would report it fails. Whatever the failure is, the policy
+// learns of the drain within updateDeadline.
 func TestDrainIsToldThoughTheCallGoesWrong(t *testing.T) {
 	for name, wrong := range map[string]http.HandlerFunc{
-		"silent": silent,
+		"silent": stall,
 		"reset": func(w http.ResponseWriter, _ *http.Request) {
 			c, _, err := w.(http.Hijacker).Hijack()
 			if err == nil {
@@ -29,22 +29,22 @@
 				c.Close()
 			}
 		},
-		"refused": fails(503),
-		"cut":     says("", drains[:40]),
+		"refused": respondStatus(503),
+		"cut":     respond("", drains[:40]),
 		"no end": func(w http.ResponseWriter, r *http.Request) {
 			fmt.Fprint(w, drains[:40])
 			w.(http.Flusher).Flush()
-			silent(w, r)
+			stall(w, r)
 		},
-		"not ours": says("", "<html>"),
+		"not ours": respond("", "<html>"),
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			h, r := recordedMembership()
 			had := make(chan time.Time, 1)
-			addr, _ := agent(t, says("", `{"generation":5,"reset":true,"instances":[{"instanceId":"a","hostPort":"h:1","lifecycle":"up"}]}`),
+			addr, _ := agent(t, respond("", `{"generation":5,"reset":true,"instances":[{"instanceId":"a","hostPort":"h:1","lifecycle":"up"}]}`),
 				func(w http.ResponseWriter, r *http.Request) { had <- time.Now(); wrong(w, r) },
-				says("", drains))
+				respond("", drains))
 			watch(t, func(ctx context.Context) {
 				Watch(ctx, WatchStart{Addr: addr, Version: 4}, NewBackoff(1, 40*time.Second), r)
 			})
@@ -54,17 +54,17 @@
 	}
 }
 
-// The agent restarts, counts its versions from the beginning, and is past the held version by the time that it is
-// called: its whole list is requested, as its changes since that version are not those since the held list.
+// The agent restarts, counts its versions from the beginning, and has passed the held version when it is called next.
+// The whole list is requested, because the agent's changes since that version are not the changes since the held list.
 func TestAgentThatStartsAgain(t *testing.T) {
 	h, r := recordedMembership()
 	ends := make(chan bool)
-	first, _ := agent(t, says("", `{"generation":5,"reset":true,"instances":[{"instanceId":"a","hostPort":"h:1","lifecycle":"up"}]}`),
+	first, _ := agent(t, respond("", `{"generation":5,"reset":true,"instances":[{"instanceId":"a","hostPort":"h:1","lifecycle":"up"}]}`),
 		func(_ http.ResponseWriter, r *http.Request) { close(ends); <-r.Context().Done() })
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	addr, broken := l.Addr().String(), make(chan bool)
-	go func() { // the first agent is reached at the address until it ends
+	go func() { // forwards connections to the first agent until it ends
 		for {
 			c, err := l.Accept()
 			if err != nil {
@@ -78,12 +78,12 @@
 	<-ends
 	l.Close()
 	close(broken)
-	require.Eventually(t, func() bool { return r.Calls().Unanswered >= 2 }, time.Minute, time.Millisecond, "one broken, one met nobody")
+	require.Eventually(t, func() bool { return r.Calls().Unanswered >= 2 }, time.Minute, time.Millisecond, "one lost, one refused")
 	asked := make(chan string, 9)
 	next := &httptest.Server{Config: &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		asked <- r.URL.RequestURI()
 		if len(asked) > 1 {
-			silent(w, r)
+			stall(w, r)
 			return
 		}
 		fmt.Fprint(w, `{"generation":9,"reset":true,"instances":[]}`)
@@ -107,11 +107,11 @@
 	io.Copy(up, c)
 }
 
-// A call that was in flight when a reload named another source is answered late: that changes nothing.
+// A late answer to a call that was in flight when a reload changed the source has no effect.
 func TestLateAnswerOfASourceThatWasLeft(t *testing.T) {
 	h, r := recordedMembership()
 	asked, late, answered := make(chan bool), make(chan bool), make(chan bool)
-	addr, _ := agent(t, says("", `{"generation":5,"reset":true,"instances":[]}`),
+	addr, _ := agent(t, respond("", `{"generation":5,"reset":true,"instances":[]}`),
 		func(w http.ResponseWriter, _ *http.Request) {
 			close(asked)
 			<-late
