--- a/internal/daemon/config/config.go
+++ b/internal/daemon/config/config.go
@@ -18,36 +18,36 @@
 
 // Config is the whole configuration of a gateway.
 type Config struct {
-	// Name names the gateway to its peers and successors. Required for knowledge and store.
+	// Name identifies the gateway to its peers and successors. Required if knowledge or the store is enabled.
 	Name string
 	// Listen is the host:port for clients. Required.
 	Listen string
 	// Discovery is the host:port of the platform's agent, the source of server lists. Required without Site.Consul.
 	Discovery string
-	// Control is the host:port at which operators call (package front/control). Empty: nowhere, and no upgrades.
+	// Control is the host:port for operators' calls (package front/control). Empty: no operators' calls and no upgrades.
 	Control string
 	// Seed makes all random numbers of the gateway reproducible: 64 bits, in hex in the file. Required.
 	Seed uint64
 
-	// Cores is how many threads run Go code at once (GOMAXPROCS): limits.cores, rounded up. Default 1.
+	// Cores is the number of threads that run Go code at once (GOMAXPROCS): limits.cores, rounded up. Default 1.
 	Cores int
 	// MemoryBytes is the memory limit of all processes of the gateway together: limits.memory_mb. Default 192 MiB, at
 	// least 32 MiB.
 	MemoryBytes int64
-	// BufferMemory is how many bytes the bodies of requests and responses may take: an eighth of MemoryBytes.
+	// BufferMemory is the memory limit of the bodies of requests and responses, in bytes: an eighth of MemoryBytes.
 	BufferMemory int64
 
 	// ClientConns, ServerConns and CheckConns split the limit of file descriptors (limits.sockets, default 1024, at
-	// least 64): connections of clients to each front, to servers, and to endpoints of token introspection. The rest is
-	// for discovery, peers, operators and files.
+	// least 64): connections of clients to each front, connections to servers, and connections to endpoints of token
+	// introspection. The rest is for discovery, peers, operators and files.
 	ClientConns, ServerConns, CheckConns int
 
 	// PeerListen is the UDP address for datagrams of peers. Zero value: no peers.
 	PeerListen netip.AddrPort
-	// Peers are the UDP addresses of all gateways in the order of their numbers, this one included. Empty or one for
-	// each of settings.group_size.
+	// Peers are the UDP addresses of all gateways, including this one, in the order of their numbers. It is empty or
+	// has settings.group_size addresses.
 	Peers []netip.AddrPort
-	// PeerBroadcast is an address that reaches all peers at once (peers_all). Zero value: there is none.
+	// PeerBroadcast is an address that reaches all peers at once (peers_all). Zero value: none.
 	PeerBroadcast netip.AddrPort
 
 	// KnownServers is a cached list of servers that is used until discovery has answered.
@@ -57,24 +57,24 @@
 	// Site holds the site file.
 	Site Site
 
-	keys []string // paths of the keys that the platform's file has, of those that this program reads
+	keys []string // paths of the keys that this program reads and that the platform's file has
 }
 
-// Load reads the platform's file, the environment and the site file, which may be missing. Its error is one that
-// [Errors] splits.
+// Load reads the platform's file, the environment and the site file, which may be missing. [Errors] splits its error
+// into single errors.
 func Load(getenv func(string) string, siteFile string) (*Config, error) {
 	return load(getenv, siteFile, nil)
 }
 
-// Reload reads the sources again in a process that runs under inForce. Unlike in Load, ROUTER_DISCOVERY doesn't
-// override the file: the environment is as old as the process, while the file has been replaced since, so the
-// variable would name an agent that may no longer exist. A key that inForce had from its file and that the new file
-// lacks is an error.
+// Reload reads the sources again in a process that runs with the configuration inForce. Unlike in Load,
+// ROUTER_DISCOVERY doesn't override the file: the environment is as old as the process while the file has been
+// replaced since, so the variable may name an agent that no longer exists. A key that was in the file of inForce and
+// is missing in the new file is an error.
 func Reload(getenv func(string) string, siteFile string, inForce *Config) (*Config, error) {
 	return load(getenv, siteFile, inForce)
 }
 
-// load reads all sources; inForce is nil at the start of a process.
+// load reads all sources. inForce is the current configuration, nil at the start of a process.
 func load(getenv func(string) string, siteFile string, inForce *Config) (*Config, error) {
 	path := getenv("ROUTER_CONFIG")
 	if path == "" {
@@ -101,15 +101,15 @@
 	return c, errs.err()
 }
 
-// Parse reads the contents of the platform's file and of the site file, which may be empty. It leaves out the
-// environment and the checks of the addresses that it may override.
+// Parse parses the contents of the platform's file and of the site file, which may be empty. It doesn't read the
+// environment and doesn't check the addresses that the environment may override.
 func Parse(platform, site []byte) (*Config, error) {
 	var errs errorList
 	c := parse(platform, site, &errs, errorsOfFile(&errs, SiteFile))
 	return c, errs.err()
 }
 
-// applyEnvironment lets the environment override the file; see Reload on ROUTER_DISCOVERY.
+// applyEnvironment overrides values of the file with those of the environment. See Reload for ROUTER_DISCOVERY.
 func (c *Config) applyEnvironment(getenv func(string) string, reload bool) {
 	for _, variable := range []struct {
 		name        string
@@ -127,8 +127,8 @@
 	}
 }
 
-// checkAddresses checks the addresses that the environment may have set. Operators get connections of their own, so
-// that they can call however many clients are connected.
+// checkAddresses checks the addresses that the environment may have set. Operators have a separate address with its own
+// connections, so that they can call regardless of the number of connected clients.
 func (c *Config) checkAddresses(errs *errorList) {
 	checkHostPort(errs, "listen", c.Listen)
 	if c.Control != "" {
@@ -140,7 +140,7 @@
 	}
 }
 
-// Summary describes the configuration in one line of key=value pairs.
+// Summary returns a description of the configuration in one line of key=value pairs.
 func (c *Config) Summary() string {
 	text := fmt.Sprintf("name=%s listen=%s discovery=%s gateways=%d classes=%d plans=%d known=%d memory_mb=%d "+
 		"client_sockets=%d member_sockets=%d", c.Name, c.Listen, c.Discovery, c.Deployment.Gateways,
--- a/internal/daemon/config/config_test.go
+++ b/internal/daemon/config/config_test.go
@@ -35,13 +35,14 @@
 	assert.Equal(t, uint64(41), c.KnownServers.Generation)
 	assert.Equal(t, 9*time.Second, c.Deployment.IdleTimeout)
 	assert.Equal(t, 250*time.Millisecond, c.Deployment.ConnectTimeout)
-	assert.Equal(t, time.Second, c.Deployment.MaxRetryAfter) // though the site doesn't say that clients heed it
+	assert.Equal(t, time.Second, c.Deployment.MaxRetryAfter) // although the site doesn't state that clients comply with it
 	assert.Equal(t, 4*time.Second, c.Deployment.MaxDeadline())
 	assert.LessOrEqual(t, c.ClientConns+c.ServerConns, 1024*9/10)
 	assert.Nil(t, c.Site.Introspection)
 }
 
-// At a reload the file holds the newer address of discovery; what can't follow is named.
+// At a reload the file's address of discovery takes precedence over the environment, and changes that need a restart
+// are reported.
 func TestReload(t *testing.T) {
 	dir := t.TempDir()
 	path := filepath.Join(dir, "config.json")
@@ -69,9 +70,9 @@
 	assert.Equal(t, c.Deployment.Zones, kept.Zones)
 }
 
-// A file that is broken in any way is refused whole, and what is wrong is named by its key: it may be empty, cut off at
-// any byte, have a deadline or attempts not over 0, or lack what the one in force has.
-func TestReloadRefusesWhatIsBroken(t *testing.T) {
+// A reload rejects an invalid file as a whole, and each error has its key. The file may be empty, truncated at any
+// byte, have a deadline or a number of attempts that is not positive, or lack a key that the current file has.
+func TestReloadRejectsInvalidFile(t *testing.T) {
 	dir := t.TempDir()
 	path := filepath.Join(dir, "config.json")
 	getenv := func(k string) string { return map[string]string{"ROUTER_CONFIG": path}[k] }
@@ -108,15 +109,15 @@
 		text := strings.Replace(full, spoil[0], spoil[1], 1)
 		require.NotEqual(t, full, text, name)
 		assert.ErrorContains(t, reload(text, c), name)
-		assert.NotContains(t, reload(text, c).Error(), "group_size", "what follows from another fault is none")
+		assert.NotContains(t, reload(text, c).Error(), "group_size", "a consequence of another error must not be reported")
 	}
 	assert.NoError(t, reload(strings.Replace(full, `"services":[`, `"services":[{"name":"new","objective":1,"give_up":1,"effect":"free","worth":1,"more":2},`, 1), c),
-		"a class more")
+		"an additional class")
 	assert.ErrorContains(t, reload(strings.Replace(full, `"services":[`, `"services":[{"name":"new","objective":1,"give_up":1,"effect":"free"},`, 1), c),
-		"settings.services[].worth", "a class more that lacks a key")
+		"settings.services[].worth", "an additional class without a key")
 	first, err := Parse([]byte(platform), nil)
 	require.NoError(t, err)
-	assert.NoError(t, reload(full, first), "more than there was")
+	assert.NoError(t, reload(full, first), "additional keys")
 	assert.NoError(t, reload(strings.Replace(full, `"zones"`, `"unread":1,"zones"`, 1), c))
 }
 
@@ -133,7 +134,7 @@
 	example, err := os.ReadFile("../../../deploy/sprucelane.example.json")
 	require.NoError(t, err)
 	_, err = Parse([]byte(platform), example)
-	for _, fault := range Errors(err) { // its certificates are the reader's own
+	for _, fault := range Errors(err) { // the certificate files of the example don't exist here
 		assert.ErrorContains(t, fault, "knowledge.cert_file, key_file: open")
 	}
 }
--- a/internal/daemon/config/deployment.go
+++ b/internal/daemon/config/deployment.go
@@ -7,25 +7,25 @@
 	"sprucelane.example/sprucelane/policy"
 )
 
-// Deployment is the platform's settings object: what the policy gets, and what only discovery and the pool need.
+// Deployment is the platform's settings object: the policy's settings, and values that only discovery and the pool use.
 type Deployment struct {
 	policy.Settings
 
 	// Generation is the number of the settings in a process that reloads them; see core.Core.Reconfigure.
 	Generation int
-	// Zones and Kinds are the names that discovery uses for zones and machine types. The policy knows each by its
+	// Zones and Kinds are the names that discovery uses for zones and machine types. The policy refers to each by its
 	// index.
 	Zones, Kinds []string
-	// IdleTimeout is how long a connection to a server may be idle before the server's side closes it. Default 30 s.
+	// IdleTimeout is the time after which servers close idle connections. Default 30 s.
 	IdleTimeout time.Duration
-	// ConnectTimeout is how long a connection to a server may take to come up. Default 250 ms.
+	// ConnectTimeout is the maximum time for connecting to a server. Default 250 ms.
 	ConnectTimeout time.Duration
 }
 
-// Equal tells whether both are the same settings, generation included.
+// Equal reports whether both are the same settings, including the generation.
 func (d Deployment) Equal(other Deployment) bool { return reflect.DeepEqual(d, other) }
 
-// ClassIndex returns the index of a class, -1 if there is none of that name.
+// ClassIndex returns the index of the class with the given name, or -1 if there is none.
 func (d Deployment) ClassIndex(name string) int {
 	for i, c := range d.Classes {
 		if c.Name == name {
@@ -35,7 +35,7 @@
 	return -1
 }
 
-// PlanIndex returns the index of a plan, -1 if there is none of that name.
+// PlanIndex returns the index of the plan with the given name, or -1 if there is none.
 func (d Deployment) PlanIndex(name string) int {
 	for i, p := range d.Plans {
 		if p.Name == name {
@@ -54,8 +54,8 @@
 	return longest
 }
 
-// LoadFields returns the index of each field in a load report, by both names that a server may use: the platform's
-// and the policy's.
+// LoadFields returns the index of each field in a load report. Each field has two keys, because a server may use the
+// platform's or the policy's name.
 func (d Deployment) LoadFields() map[string]int {
 	fields := map[string]int{}
 	for i, name := range d.LoadReportFields {
--- a/internal/daemon/config/errors.go
+++ b/internal/daemon/config/errors.go
@@ -5,22 +5,23 @@
 	"fmt"
 )
 
-// errorList collects all errors of a configuration, so that an operator can correct them at once. The text of each
-// begins with the key that it is about.
+// errorList collects all errors of a configuration, so that an operator can correct them all at once. The text of each
+// error begins with its key.
 type errorList struct {
 	errs []error
 
-	// A list of one file's errors adds them to its parent instead, after the file's name.
+	// The list of one file's errors has a parent, and adds its errors to the parent instead, prefixed with the file's
+	// name.
 	file   string
 	parent *errorList
 }
 
-// errorsOfFile returns a list that adds its errors to parent, after the file's name.
+// errorsOfFile returns a list that adds its errors to parent, prefixed with the file's name.
 func errorsOfFile(parent *errorList, file string) *errorList {
 	return &errorList{file: file, parent: parent}
 }
 
-// add adds an error; nil is none.
+// add adds an error. A nil error is ignored.
 func (l *errorList) add(err error) {
 	switch {
 	case err == nil:
@@ -33,10 +34,10 @@
 
 func (l *errorList) addf(format string, values ...any) { l.add(fmt.Errorf(format, values...)) }
 
-// err returns all errors joined; nil if there are none.
+// err returns all errors joined, or nil if there are none.
 func (l *errorList) err() error { return errors.Join(l.errs...) }
 
-// Errors returns the errors that an error of Load, Reload or Parse consists of.
+// Errors returns the single errors of which an error of Load, Reload or Parse consists.
 func Errors(err error) []error {
 	if err == nil {
 		return nil
--- a/internal/daemon/config/introspection.go
+++ b/internal/daemon/config/introspection.go
@@ -9,7 +9,7 @@
 )
 
 // Introspection is the configuration of the front with token introspection (package front/introspect): where it
-// listens, which endpoints check tokens (RFC 7662), and which tools may ask about tokens.
+// listens, which endpoints check tokens (RFC 7662), and which tools may send introspection requests to this gateway.
 type Introspection struct {
 	// Listen is the front's host:port. Required.
 	Listen string `json:"listen"`
@@ -18,47 +18,47 @@
 	KeyFile  string `json:"key_file"`
 
 	// Endpoints are the URLs that check tokens, of the form http://host:port/path, all with the same scheme and path.
-	// At least one. check leaves host:port of each.
+	// At least one. check replaces each URL by its host:port.
 	Endpoints []string `json:"endpoints"`
-	// CAFile is a PEM file with the roots for https endpoints. Empty: the machine's.
+	// CAFile is a PEM file with the root certificates for https endpoints. Empty: the system's.
 	CAFile string `json:"ca_file"`
 	// ClientID and ClientSecret are the gateway's own credentials at the endpoints. Required.
 	ClientID     string `json:"client_id"`
 	ClientSecret string `json:"client_secret"`
-	// TimeoutMs is how long in ms a check may take; a request's own deadline shortens it. 0 means 1000.
+	// TimeoutMs is the maximum time of a check in ms; an earlier deadline of the request shortens it. 0 means 1000.
 	TimeoutMs int `json:"timeout_ms"`
-	// Scopes maps a class of requests to the scope that its tokens need. A class that is not named needs none.
+	// Scopes maps a class of requests to the scope that its tokens must have. A class without an entry requires none.
 	Scopes map[string]string `json:"scopes"`
-	// AccountClaim names the claim of an endpoint's answer that must hold the customer's number, in hex. Empty: the
-	// customer is not compared.
+	// AccountClaim is the name of the claim in an endpoint's answer that must have the customer's number, in hex.
+	// Empty: the customer is not checked.
 	AccountClaim string `json:"account_claim"`
-	// Realm is what errors name to clients. Default "sprucelane".
+	// Realm is the realm in errors to clients. Default "sprucelane".
 	Realm string `json:"realm"`
-	// Tools may ask this gateway about tokens.
+	// Tools may send introspection requests to this gateway.
 	Tools []Tool `json:"tools"`
 
-	// PeerListen is the UDP address for datagrams of other gateways' checks, by which they share the quotas of checks.
-	// Empty: each gateway has a fixed part of the quotas.
+	// PeerListen is the UDP address for datagrams about the checks of other gateways, with which the quotas of checks
+	// are shared. Empty: each gateway has a fixed part of the quotas.
 	PeerListen string `json:"peer_listen"`
-	// Peers are those addresses of all gateways, in the order of their numbers. Required with PeerListen.
+	// Peers are the PeerListen addresses of all gateways, in the order of their numbers. Required with PeerListen.
 	Peers []string `json:"peers"`
 
-	// What follows is set by check.
+	// The fields below are set by check.
 
 	Timeout   time.Duration    `json:"-"` // TimeoutMs
-	Path      string           `json:"-"` // of all Endpoints
-	TLS       bool             `json:"-"` // whether Endpoints are https
-	Roots     *x509.CertPool   `json:"-"` // of CAFile; nil: the machine's
+	Path      string           `json:"-"` // path of all Endpoints
+	TLS       bool             `json:"-"` // Endpoints are https
+	Roots     *x509.CertPool   `json:"-"` // certificates in CAFile; nil: the system's
 	PeerAddr  netip.AddrPort   `json:"-"` // PeerListen
 	PeerAddrs []netip.AddrPort `json:"-"` // Peers
 }
 
-// Tool is a tool of the site that may ask about tokens, by HTTP basic authentication.
+// Tool is a tool of the site that may send introspection requests, with HTTP basic authentication.
 type Tool struct {
 	ID      string `json:"id"`      // user name; required
 	Secret  string `json:"secret"`  // password; required
-	Account uint64 `json:"account"` // number of the customer whose quota its requests draw from
-	Plan    string `json:"plan"`    // that customer's plan, one of the settings'
+	Account uint64 `json:"account"` // number of the customer whose quota its requests are charged to
+	Plan    string `json:"plan"`    // name of that customer's plan in the settings
 }
 
 const (
@@ -103,7 +103,7 @@
 	}
 }
 
-// checkEndpoints splits the URLs into host:port, path and scheme, and reads the roots for their certificates.
+// checkEndpoints splits the URLs into host:port, path and scheme, and reads the root certificates of CAFile.
 func (in *Introspection) checkEndpoints(errs *errorList) {
 	if len(in.Endpoints) == 0 {
 		errs.addf("introspection.endpoints: none given")
--- a/internal/daemon/config/knowledge.go
+++ b/internal/daemon/config/knowledge.go
@@ -12,28 +12,29 @@
 // Knowledge is the configuration of the exchange of knowledge of the servers between gateways (package knowledge). At
 // least one of Listen and Peers is required.
 type Knowledge struct {
-	// Listen is the host:port at which peers ask this gateway. Empty: none can.
+	// Listen is the host:port for requests of peers. Empty: peers can't request this gateway's knowledge.
 	Listen string `json:"listen"`
-	// Peers are the host:port of the gateways that this one asks. Empty: none.
+	// Peers are the host:port of the gateways from which this gateway requests knowledge. Empty: none.
 	Peers []string `json:"peers"`
 
 	// CertFile and KeyFile are PEM files with this gateway's certificate and key, as a server and as a client.
 	CertFile string `json:"cert_file"`
 	KeyFile  string `json:"key_file"`
-	// CAFile is a PEM file with the roots of the peers' certificates.
+	// CAFile is a PEM file with the root certificates for the peers' certificates.
 	CAFile string `json:"ca_file"`
 	// ServerName is the name in the peers' certificates. Empty: the host of each peer's address.
 	ServerName string `json:"server_name"`
-	// Plain turns TLS off; otherwise the three files are required.
+	// Plain disables TLS. Without it, CertFile, KeyFile and CAFile are required.
 	Plain bool `json:"plain"`
 
-	// WaitMs is how long in ms a start waits at most for the peers' knowledge before the gateway is ready: 0 to 10000.
-	// Absent means 300.
+	// WaitMs is the maximum time in ms that a starting gateway waits for the peers' knowledge before it is ready: 0 to
+	// 10000. Absent means 300.
 	WaitMs *int `json:"wait_ms"`
-	// SuspectShare is the share of the servers that peers' reports alone may make suspected: 0 to 0.5. 0 means a third.
+	// SuspectShare is the maximum share of servers that become suspected by peers' reports alone: 0 to 0.5. 0 means a
+	// third.
 	SuspectShare float64 `json:"suspect_share"`
 
-	// What follows is set by check.
+	// The fields below are set by check.
 
 	Wait           time.Duration `json:"-"` // WaitMs
 	Server, Client *tls.Config   `json:"-"` // nil: no TLS
@@ -76,9 +77,10 @@
 	}
 }
 
-// MutualTLS returns configurations of TLS 1.3 by which a server and its clients authenticate each other, from PEM files
-// with the own certificate and key and with the roots of the other side's. serverName is what clients expect in the
-// server's certificate; empty means the host that they dial. Errors begin with the key that is wrong.
+// MutualTLS returns configurations of TLS 1.3 with which a server and its clients authenticate each other. certFile
+// and keyFile are PEM files with this side's certificate and key, caFile is one with the root certificates of the
+// other side. serverName is the name that clients expect in the server's certificate; if it is empty, they expect the
+// host that they dial. Errors begin with the key of the invalid value.
 func MutualTLS(certFile, keyFile, caFile, serverName string) (server, client *tls.Config, err error) {
 	if certFile == "" || keyFile == "" || caFile == "" {
 		return nil, nil, errors.New("cert_file, key_file, ca_file: all three are needed, unless plain is true")
--- a/internal/daemon/config/missing.go
+++ b/internal/daemon/config/missing.go
@@ -8,11 +8,12 @@
 	"strings"
 )
 
-// When a process starts, a key that is left out has its default. In a file that replaces the one in force, a missing
-// key is far more likely a truncated file or a mistake in editing, so Reload rejects it.
+// This file finds keys that are missing after a reload. When a process starts, a missing key gets its default. In a
+// file that replaces the current one, a missing key is far more likely due to a truncated file or an editing mistake,
+// so Reload rejects it.
 
-// keyPaths returns the paths of the keys in a decoded JSON value that the type as reads, such as ".limits.cores" or
-// ".peers[]". Of the entries of a list it returns the keys that all of them have.
+// keyPaths returns the paths of the keys in a decoded JSON value that are fields of the type as, such as
+// ".limits.cores" or ".peers[]". For a list it returns the keys that all entries have.
 func keyPaths(value any, as reflect.Type) (paths []string) {
 	switch as.Kind() {
 	case reflect.Pointer:
@@ -46,14 +47,14 @@
 	return paths
 }
 
-// fileKeys returns the paths of the keys in a platform's file; nil if it isn't JSON. What is below the key known is
-// left out: it is a cache of the platform, and nobody sets it.
+// fileKeys returns the paths of the keys in a platform's file, or nil if it isn't JSON. It omits keys below the key
+// known, which the platform writes as a cache and nobody configures.
 func fileKeys(text []byte) (paths []string) {
 	var value map[string]any
 	if json.Unmarshal(text, &value) != nil {
 		return nil
 	}
-	// platformFile leaves the settings undecoded, so they are read by their own type.
+	// platformFile has the settings undecoded, so their keys are read with settingsJSON.
 	settings := map[string]any{"settings": value["settings"]}
 	settingsType := reflect.TypeFor[struct {
 		Settings settingsJSON `json:"settings"`
@@ -67,8 +68,8 @@
 	return paths
 }
 
-// missingKeys returns an error for each key that the file in force has and its replacement lacks, but none for the keys
-// below one that is missing itself.
+// missingKeys returns an error for each key that is in the current file and missing in its replacement. For the keys
+// below a missing key it returns no further errors.
 func missingKeys(inForce, next []string) (errs []error) {
 	var missing []string
 	for _, p := range inForce {
--- a/internal/daemon/config/platform.go
+++ b/internal/daemon/config/platform.go
@@ -9,7 +9,7 @@
 	"sprucelane.example/sprucelane/internal/daemon/discovery"
 )
 
-// Defaults and least values of the platform's limits.
+// Defaults and minimum values of the platform's limits.
 const (
 	defaultCores    = 1.0
 	defaultMemoryMB = 192.0
@@ -17,12 +17,12 @@
 	defaultSockets  = 1024
 	minSockets      = 64
 
-	// bufferMemoryDivisor of the memory limit is what bodies may take.
+	// Bodies may use the memory limit divided by bufferMemoryDivisor.
 	bufferMemoryDivisor = 8
 )
 
-// Shares of the limit of file descriptors, in percent: without token introspection, and with it, where there are two
-// fronts with clients and connections to endpoints.
+// Shares of the limit of file descriptors, in percent, without and with token introspection. With it there are two
+// fronts with clients, and connections to endpoints.
 const (
 	clientConnsPercent, serverConnsPercent = 50, 35
 
@@ -35,7 +35,7 @@
 	defaultConnectTimeout = 250 * time.Millisecond
 )
 
-// platformFile is the platform's file; [Config] documents the keys. A limit that is 0 or absent has its default.
+// platformFile is the platform's file; [Config] documents the keys. A limit that is 0 or absent gets its default.
 type platformFile struct {
 	Name      string `json:"name"`
 	Listen    string `json:"listen"`
@@ -54,8 +54,8 @@
 	Settings   json.RawMessage `json:"settings"`
 }
 
-// parse reads the contents of the platform's file and of the site file. It adds what is wrong with each to its list of
-// errors, and returns what could be read.
+// parse parses the contents of the platform's file and of the site file. It adds the errors of each file to that file's
+// list and returns the parts that could be parsed.
 func parse(platform, site []byte, platformErrs, siteErrs *errorList) *Config {
 	var f platformFile
 	c := &Config{keys: fileKeys(platform)}
@@ -89,7 +89,7 @@
 	return c
 }
 
-// parseLimits sets the limits, and returns the limit of file descriptors.
+// parseLimits sets the limits of cores and memory, and returns the limit of file descriptors.
 func (c *Config) parseLimits(f *platformFile, errs *errorList) (sockets int) {
 	if !(f.Limits.Cores >= 0) || !(f.Limits.MemoryMB >= 0) || f.Limits.Sockets < 0 {
 		errs.addf("limits: cores, memory_mb and sockets must not be negative")
@@ -106,7 +106,7 @@
 	return sockets
 }
 
-// splitSockets splits the limit of file descriptors. The site file is known by then.
+// splitSockets splits the limit of file descriptors. The site file must have been parsed before.
 func (c *Config) splitSockets(sockets int) {
 	c.ClientConns, c.ServerConns = sockets*clientConnsPercent/100, sockets*serverConnsPercent/100
 	if c.Site.Introspection != nil {
@@ -116,10 +116,10 @@
 	}
 }
 
-// positiveOr returns x, or the default if x is not positive.
-func positiveOr[T int | float64 | time.Duration](x, standard T) T {
+// positiveOr returns x, or defaultValue if x is not positive.
+func positiveOr[T int | float64 | time.Duration](x, defaultValue T) T {
 	if x > 0 {
 		return x
 	}
-	return standard
+	return defaultValue
 }
--- a/internal/daemon/config/restart.go
+++ b/internal/daemon/config/restart.go
@@ -6,7 +6,7 @@
 	"slices"
 )
 
-// difference is a key whose values in two configurations were compared.
+// difference is the result of comparing a key's values in two configurations.
 type difference struct {
 	key  string
 	same bool
@@ -22,8 +22,8 @@
 	return keys
 }
 
-// RestartKeys returns the keys in which a reloaded configuration differs from c, the one that the process was started
-// with, and that only a restart changes.
+// RestartKeys returns the keys in which the reloaded configuration next differs from c, with which the process was
+// started, and whose changes take effect only after a restart.
 func (c *Config) RestartKeys(next *Config) []string {
 	keys := differingKeys([]difference{
 		{"name", c.Name == next.Name},
@@ -41,9 +41,9 @@
 	return append(keys, settings...)
 }
 
-// WithRestartKeysOf returns d with the values that start has of the keys that only a restart changes, and the names of
-// those keys in which they differ. These are the keys that number something (gateways, zones, kinds, fields of load
-// reports), or that sockets and peers depend on.
+// WithRestartKeysOf returns d with the values of start for the keys whose changes need a restart, and the names of
+// those keys in which d and start differ. These are the keys that define numbers (of gateways, zones, kinds, fields
+// of load reports), or on which sockets and peers depend.
 func (d Deployment) WithRestartKeysOf(start Deployment) (merged Deployment, differing []string) {
 	differing = differingKeys([]difference{
 		{"settings.self_index", d.Self == start.Self},
--- a/internal/daemon/config/settings.go
+++ b/internal/daemon/config/settings.go
@@ -9,9 +9,9 @@
 	"sprucelane.example/sprucelane/policy"
 )
 
-// settingsJSON is the platform's settings object. Durations are in ns, shares from 0 to 1. policy.Settings,
-// policy.Class and policy.Plan document what the values mean; the comments here name their fields where the names
-// differ. Absent keys are 0, which turns off what they are about.
+// settingsJSON is the platform's settings object. Durations are in ns, shares from 0 to 1. The values are documented at
+// the fields of policy.Settings, policy.Class and policy.Plan; comments here give the names of these fields where they
+// differ. Absent keys are 0, which disables their feature.
 type settingsJSON struct {
 	Allowed struct {
 		Cancel        bool          `json:"cancel"`
@@ -49,7 +49,7 @@
 	Services  []struct {
 		Effect    string        `json:"effect"`    // a key of idempotencies
 		GiveUp    time.Duration `json:"give_up"`   // Deadline
-		KeyScope  string        `json:"key_scope"` // a key of dedupScopes, where the effect is "guarded"
+		KeyScope  string        `json:"key_scope"` // a key of dedupScopes; required if the effect is "guarded"
 		LateWorth float64       `json:"late_worth"`
 		Name      string        `json:"name"`
 		Objective time.Duration `json:"objective"` // LatencyTarget
@@ -74,7 +74,7 @@
 	Zones []string `json:"zones"` // names
 }
 
-// The platform's names of values, and the policy's.
+// The platform's names of values, mapped to the policy's values.
 var (
 	idempotencies = map[string]policy.Idempotency{
 		"free":        policy.Idempotent,
@@ -96,8 +96,8 @@
 	}
 )
 
-// ParseSettings translates the settings object, for gateways and for the simulator's adapter alike. Keys that it
-// doesn't know are ignored. It checks only what it needs to; Deployment.Validate checks the rest.
+// ParseSettings converts the platform's settings object to a Deployment, for gateways and for the simulator's adapter.
+// It ignores unknown keys. It checks only the values that it must interpret; Deployment.Validate checks the rest.
 func ParseSettings(text []byte) (Deployment, error) {
 	var j settingsJSON
 	if err := json.Unmarshal(text, &j); err != nil {
@@ -119,7 +119,7 @@
 		Peers:             j.Allowed.Peers,
 		Probes:            j.Allowed.Probes,
 		Cancel:            j.Allowed.Cancel,
-		MaxRetryAfter:     j.Allowed.MaxRetryAfter, // also where clients aren't counted on to wait that long
+		MaxRetryAfter:     j.Allowed.MaxRetryAfter, // also if clients aren't expected to wait that long
 		PeerMessageRate:   j.Extra.PeerIntake,
 		CrossZoneCost:     j.Costs.CrossZone,
 		MaxUnits:          j.Extra.Largest,
--- a/internal/daemon/config/site.go
+++ b/internal/daemon/config/site.go
@@ -10,30 +10,30 @@
 	"sprucelane.example/sprucelane/internal/daemon/discovery"
 )
 
-// Site is the site file. Each part is off if it is absent.
+// Site is the site file. The feature of an absent part is off.
 type Site struct {
-	// Consul makes a Consul agent the source of server lists, in the place of the platform's agent.
+	// Consul makes a Consul agent the source of server lists instead of the platform's agent.
 	Consul *discovery.Consul `json:"consul"`
-	// Introspection opens a second front whose requests bring OAuth 2 tokens.
+	// Introspection opens a second front whose clients authenticate with OAuth 2.0 tokens.
 	Introspection *Introspection `json:"introspection"`
-	// Knowledge exchanges with peers what is known of the servers.
+	// Knowledge enables the exchange of knowledge of the servers with peers.
 	Knowledge *Knowledge `json:"knowledge"`
-	// Storm damps storms of retries.
+	// Storm enables storm control, which limits storms of retries.
 	Storm *Storm `json:"storm"`
-	// Store keeps quota balances across restarts.
+	// Store preserves quota balances across restarts.
 	Store *Store `json:"store"`
 
-	introspectionJSON, knowledgeJSON []byte // as read, for Config.RestartKeys: check completes the structs
+	introspectionJSON, knowledgeJSON []byte // as read, for Config.RestartKeys, because check modifies the structs
 }
 
-// Store is the configuration of the folder in which quota balances outlast the process (package store).
+// Store is the configuration of the directory in which quota balances outlast the process (package store).
 type Store struct {
-	// Path of the folder, which is made if it doesn't exist. It is of one gateway alone. Required.
+	// Path is the directory, which is created if it doesn't exist. Gateways must not share it. Required.
 	Path string `json:"path"`
-	// FlushMs is how long in ms changes wait at most before they are written to the disk: a crash of the machine loses
-	// as much. 0 to 10000; 0 means 50.
+	// FlushMs is the maximum time in ms before changes are written to the disk. A crash of the machine loses the changes
+	// of that time. 0 to 10000; 0 means 50.
 	FlushMs int `json:"flush_ms"`
-	// MaxMB is how large in MiB all files together may get; beyond it, writes fail. At least 16; 0 means 256.
+	// MaxMB is the maximum total size of all files in MiB; writes beyond it fail. At least 16; 0 means 256.
 	MaxMB int `json:"most_mb"`
 }
 
@@ -44,24 +44,24 @@
 	minStoreMB     = 16
 )
 
-// FlushInterval is how long changes wait at most before they are written to the disk.
+// FlushInterval returns the maximum time before changes are written to the disk.
 func (s Store) FlushInterval() time.Duration {
 	return time.Duration(cmp.Or(s.FlushMs, defaultFlushMs)) * time.Millisecond
 }
 
-// MaxBytes is how large all files together may get.
+// MaxBytes returns the maximum total size of all files, in bytes.
 func (s Store) MaxBytes() int64 { return int64(cmp.Or(s.MaxMB, defaultStoreMB)) << 20 }
 
 // Storm is the configuration of storm control (package storm).
 type Storm struct {
-	// RetryShare is the number of retries that the fleet lets in for each first try during a storm: 0 to 1; 0 means
-	// 0.2. More lets clients succeed sooner, and a storm last longer.
+	// RetryShare is the number of retries that the fleet admits per first try during a storm: 0 to 1; 0 means 0.2. With
+	// a higher value clients succeed sooner, but a storm lasts longer.
 	RetryShare float64 `json:"retry_share"`
-	// MaxRetryAfterMs is the longest Retry-After in ms that a rejection names: 0 to 30000. 0 means the platform's limit
-	// (settings.allowed.max_retry_after), and 30 s if it has none.
+	// MaxRetryAfterMs is the maximum Retry-After of a rejection in ms: 0 to 30000. 0 means the platform's limit
+	// (settings.allowed.max_retry_after), or 30 s if the platform has none.
 	MaxRetryAfterMs int `json:"most_wait_ms"`
-	// ConnectionsPerS is the number of new connections a second that each front accepts during a storm; the rest are
-	// reset unread. 0 to 1000000; 0 means all.
+	// ConnectionsPerS is the number of new connections per second that each front accepts during a storm; further
+	// connections are reset without being read. 0 to 1000000; 0 means no limit.
 	ConnectionsPerS float64 `json:"connections_per_s"`
 
 	MaxRetryAfter time.Duration `json:"-"` // MaxRetryAfterMs; set by check
@@ -73,10 +73,10 @@
 	maxStormRetryShare = 1
 )
 
-// SameConsul tells whether both sites have the same source of server lists as far as Consul goes.
+// SameConsul reports whether both sites have the same Consul configuration, which may be none.
 func (s Site) SameConsul(other Site) bool { return reflect.DeepEqual(s.Consul, other.Consul) }
 
-// parseSite reads the site file, and tells whether it could be read.
+// parseSite parses the site file and reports whether it could be decoded.
 func (c *Config) parseSite(site []byte, platformErrs, siteErrs *errorList) bool {
 	strict := json.NewDecoder(bytes.NewReader(site))
 	strict.DisallowUnknownFields()
@@ -102,7 +102,8 @@
 	return true
 }
 
-// check checks all parts but the store, and completes them with what follows from other keys.
+// check checks all parts except the store and sets their fields that are derived from other keys. parseSite checks the
+// store.
 func (s *Site) check(d Deployment, errs *errorList) {
 	if s.Consul != nil {
 		checkHostPort(errs, "consul.addr", s.Consul.Addr)
