--- a/internal/daemon/cli/cli.go
+++ b/internal/daemon/cli/cli.go
@@ -1,5 +1,5 @@
-// Package cli has what the project's commands share: flags that environment variables set, exit codes, and the
-// program's version.
+// Package cli has code that the project's commands share: flags with defaults from environment variables, exit codes,
+// and the program's version.
 package cli
 
 import (
@@ -12,10 +12,10 @@
 	"github.com/spf13/pflag"
 )
 
-// ExitUsage is the exit code for flags, environment or configuration that can't be used. Other failures exit with 1.
+// ExitUsage is the exit code for invalid flags, environment variables or configuration. Other failures exit with 1.
 const ExitUsage = 2
 
-// ExitError is an error that ends the program with a code of its own.
+// ExitError is an error that determines the exit code of the program.
 type ExitError struct {
 	Code int
 	Err  error
@@ -24,7 +24,8 @@
 func (e ExitError) Error() string { return e.Err.Error() }
 func (e ExitError) Unwrap() error { return e.Err }
 
-// Main runs a command and returns its exit code: 0, the code of an [ExitError], or 1. report prints the error.
+// Main runs a command and returns its exit code: 0, the code of an [ExitError], or 1 for other errors. It calls report
+// with the error.
 func Main(root *cobra.Command, report func(error)) int {
 	root.SilenceErrors, root.SilenceUsage = true, true
 	root.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return ExitError{ExitUsage, err} })
@@ -40,8 +41,8 @@
 	return 1
 }
 
-// EnvFlags returns a PersistentPreRunE that sets each flag of a command, inherited ones included, that is not given
-// on the command line from its environment variable ([EnvName]), if that is not empty.
+// EnvFlags returns a PersistentPreRunE that sets flags of a command, including inherited ones, from their environment
+// variables ([EnvName]). It skips flags that are given on the command line and variables that are empty.
 func EnvFlags(prefix string, getenv func(string) string) func(*cobra.Command, []string) error {
 	return func(cmd *cobra.Command, _ []string) error {
 		var first error
@@ -57,12 +58,12 @@
 	}
 }
 
-// EnvName returns the variable of a flag: PREFIX_ and the flag's name in capitals, with _ for -.
+// EnvName returns the name of a flag's environment variable: PREFIX_ and the flag's name in capitals, with _ for -.
 func EnvName(prefix, flag string) string {
 	return prefix + "_" + strings.ToUpper(strings.ReplaceAll(flag, "-", "_"))
 }
 
-// Version returns the module's version, the revision if the build recorded it, and Go's version.
+// Version returns the module's version, the revision if the build has recorded it, and the Go version.
 func Version() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
--- a/internal/daemon/logging/logging.go
+++ b/internal/daemon/logging/logging.go
@@ -1,5 +1,5 @@
-// Package logging configures log/slog for the daemon: lines of key=value text, or one JSON object a line, each with
-// the name of its event in the key "event". Lines must not contain tokens or bodies.
+// Package logging configures log/slog for the daemon. It writes lines of key=value text or one JSON object per line.
+// Each line has the name of its event in the key "event". Lines must not contain tokens or bodies.
 package logging
 
 import (
@@ -15,17 +15,17 @@
 	Levels  = []string{"debug", "info", "warn", "error"}
 )
 
-// eventKey is the key of a line's message in the place of slog's "msg".
+// eventKey is the key of a line's message, instead of slog's "msg".
 const eventKey = "event"
 
-// Set makes slog's default logger write lines of a level or above to w in a format. It is an error if the format or
-// the level is unknown.
+// Set makes slog's default logger write lines of the given level or above to w in the given format. It returns an error
+// if the format or the level is unknown.
 func Set(w io.Writer, format, level string) error {
-	var least slog.Level
-	if !slices.Contains(Levels, level) || least.UnmarshalText([]byte(level)) != nil {
-		return fmt.Errorf("log-level: %q is none of %q", level, Levels)
+	var minLevel slog.Level
+	if !slices.Contains(Levels, level) || minLevel.UnmarshalText([]byte(level)) != nil {
+		return fmt.Errorf("log-level: %q, want one of %q", level, Levels)
 	}
-	options := &slog.HandlerOptions{Level: least, ReplaceAttr: func(groups []string, a slog.Attr) slog.Attr {
+	options := &slog.HandlerOptions{Level: minLevel, ReplaceAttr: func(groups []string, a slog.Attr) slog.Attr {
 		if len(groups) == 0 && a.Key == slog.MessageKey {
 			a.Key = eventKey
 		}
@@ -37,7 +37,7 @@
 	case "json":
 		slog.SetDefault(slog.New(slog.NewJSONHandler(w, options)))
 	default:
-		return fmt.Errorf("log-format: %q is none of %q", format, Formats)
+		return fmt.Errorf("log-format: %q, want one of %q", format, Formats)
 	}
 	return nil
 }
--- a/internal/daemon/peer/peer.go
+++ b/internal/daemon/peer/peer.go
@@ -1,8 +1,9 @@
-// Package peer carries datagrams between the gateways of a fleet: one UDP socket, by which a gateway sends to and
-// receives from the listed peers only. What the datagrams say is others' concern (package policy above all).
+// Package peer sends and receives datagrams between the gateways of a fleet. A gateway has one UDP socket, and
+// exchanges datagrams only with the listed peers. The content of datagrams is defined by other packages, mainly by
+// package policy.
 //
-// Datagrams may be lost, repeated and reordered, and are neither encrypted nor authenticated beyond their source
-// address: the peers' network has to be trusted.
+// Datagrams may be lost, duplicated and reordered. They are not encrypted, and authenticated only by their source
+// address, so the peers' network must be trusted.
 package peer
 
 import (
@@ -16,30 +17,30 @@
 	"time"
 )
 
-// MaxMessage is the longest message in bytes that the platform permits.
+// MaxMessage is the maximum length of a message that the platform permits, in bytes.
 const MaxMessage = 256
 
-// writeTimeout bounds a write. A datagram that the kernel doesn't take within it counts as lost.
+// writeTimeout bounds a write. A datagram that the kernel doesn't accept within this time is dropped.
 const writeTimeout = 50 * time.Millisecond
 
 // Link is a gateway's socket to its peers. It is safe for concurrent use.
 type Link struct {
 	conn      *net.UDPConn
-	peers     []netip.AddrPort // by the peers' numbers
-	broadcast netip.AddrPort   // reaches all peers; zero value: there is none
+	peers     []netip.AddrPort // indexed by the peers' numbers
+	broadcast netip.AddrPort   // address that reaches all peers; zero value: none
 	peerIndex map[netip.AddrPort]int
 
 	received, invalid, dropped, sent atomic.Uint64
 
-	mu       sync.Mutex // guards what follows
+	mu       sync.Mutex // guards the fields below
 	isPaused bool
-	resumed  chan struct{} // of the pause that began last; closed when it ends
+	resumed  chan struct{} // closed at the end of the most recent pause; nil before the first
 }
 
 // Stats counts datagrams.
 type Stats struct {
 	Received uint64 // from peers
-	Invalid  uint64 // too long, or from an address that is no peer's
+	Invalid  uint64 // too long, or not from a peer's address
 	Sent     uint64
 	Dropped  uint64 // not sent: too long, to an unknown peer, or the write failed
 }
@@ -49,8 +50,8 @@
 	return Stats{Received: l.received.Load(), Invalid: l.invalid.Load(), Sent: l.sent.Load(), Dropped: l.dropped.Load()}
 }
 
-// Listen opens a socket at addr. The peers are in the order of their numbers. broadcast is an address that reaches all
-// of them; its zero value means that there is none.
+// Listen opens a socket at addr. peers are the peers' addresses in the order of their numbers. broadcast is an address
+// that reaches all of them; its zero value means that there is none.
 func Listen(addr netip.AddrPort, peers []netip.AddrPort, broadcast netip.AddrPort) (*Link, error) {
 	conn, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(addr))
 	if err != nil {
@@ -59,7 +60,7 @@
 	return NewLink(conn, peers, broadcast), nil
 }
 
-// NewLink is like Listen, for a socket that is open already.
+// NewLink is like Listen but uses an open socket.
 func NewLink(conn *net.UDPConn, peers []netip.AddrPort, broadcast netip.AddrPort) *Link {
 	l := &Link{conn: conn, peers: peers, broadcast: broadcast, peerIndex: map[netip.AddrPort]int{}}
 	for i, p := range peers {
@@ -68,14 +69,14 @@
 	return l
 }
 
-// File returns a duplicate of the socket, for a process that takes it over.
+// File returns a duplicate of the socket's file, for a process that takes the socket over.
 func (l *Link) File() (*os.File, error) { return l.conn.File() }
 
 // Addr returns the local address.
 func (l *Link) Addr() netip.AddrPort { return l.conn.LocalAddr().(*net.UDPAddr).AddrPort() }
 
-// Pause stops sending and receiving until Resume, as another process has the gateway's socket. Datagrams that arrive
-// meanwhile are that process's.
+// Pause stops sending and receiving until Resume, while another process uses the gateway's socket. That process
+// receives the datagrams that arrive in the meantime.
 func (l *Link) Pause() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -85,7 +86,7 @@
 	}
 }
 
-// Resume ends a pause.
+// Resume ends a pause. It does nothing if the link is not paused.
 func (l *Link) Resume() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -96,15 +97,15 @@
 	}
 }
 
-// paused tells whether the link is paused, and returns a channel that is closed when it is resumed.
+// paused reports whether the link is paused, and returns a channel that is closed when the link is resumed.
 func (l *Link) paused() (bool, <-chan struct{}) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.isPaused, l.resumed
 }
 
-// Send sends a message to a peer, or to all if peer is negative. It reports no failure: what uses datagrams allows for
-// their loss.
+// Send sends a message to a peer, or to all peers if peer is negative. It returns no error, because users of datagrams
+// must tolerate their loss.
 func (l *Link) Send(peer int, message []byte) {
 	if len(message) > MaxMessage || peer >= len(l.peers) {
 		l.dropped.Add(1)
@@ -125,10 +126,10 @@
 	}
 }
 
-// Serve calls receive for each message of a listed peer, with the peer's number, until Close. receive must not keep
+// Serve calls receive with the peer's number for each message from a listed peer, until Close. receive must not retain
 // the message.
 func (l *Link) Serve(receive func(from int, message []byte)) {
-	buf := make([]byte, MaxMessage+1) // one more than the longest, to tell a longer one
+	buf := make([]byte, MaxMessage+1) // one byte more than the maximum, to detect longer messages
 	for {
 		n, from, err := l.conn.ReadFromUDPAddrPort(buf)
 		if errors.Is(err, net.ErrClosed) {
@@ -138,7 +139,7 @@
 			<-resumed
 			continue
 		}
-		if err != nil { // such as an ICMP error in answer to a datagram that was sent
+		if err != nil { // such as an ICMP error for a datagram that was sent
 			continue
 		}
 		if i, ok := l.peerIndex[netip.AddrPortFrom(from.Addr().Unmap(), from.Port())]; ok && n <= MaxMessage {
--- a/internal/daemon/peer/peer_test.go
+++ b/internal/daemon/peer/peer_test.go
@@ -18,7 +18,8 @@
 	return c, c.LocalAddr().(*net.UDPAddr).AddrPort()
 }
 
-// Datagrams are sent from the local address, at most MaxMessage bytes long, and only those of listed peers are received.
+// Datagrams are sent from the local address and have at most MaxMessage bytes, and only datagrams from listed peers are
+// received.
 func TestOnlyListedPeersCount(t *testing.T) {
 	one, oneAddr := socket(t)
 	stranger, _ := socket(t)
--- a/internal/daemon/wire/actions.go
+++ b/internal/daemon/wire/actions.go
@@ -8,22 +8,22 @@
 	"sprucelane.example/sprucelane/policy"
 )
 
-// Codes of actions. The comments have the protocol's names.
+// Codes of actions. The comments give the protocol's names.
 const (
-	actionSend   = 10  // PLACE
-	actionRefuse = 20  // PUSH_BACK
-	actionFail   = 30  // REPORT_FAILURE
-	actionCancel = 40  // REVOKE
-	actionTimer  = 50  // SCHEDULE
-	actionTell   = 80  // SHARE
-	actionLog    = 90  // JOURNAL_LINE
-	actionWatch  = 110 // TRACK
+	actionSend       = 10  // PLACE
+	actionRefuse     = 20  // PUSH_BACK
+	actionFail       = 30  // REPORT_FAILURE
+	actionCancel     = 40  // REVOKE
+	actionTimer      = 50  // SCHEDULE
+	actionSendToPeer = 80  // SHARE
+	actionLog        = 90  // JOURNAL_LINE
+	actionWatch      = 110 // TRACK
 )
 
 // Actions collects the actions of a reply.
 type Actions struct{ buf []byte }
 
-// Frame returns the reply, and begins the next one.
+// Frame returns the encoded reply and starts the next one.
 func (a *Actions) Frame() []byte {
 	out := binary.BigEndian.AppendUint32(nil, uint32(len(a.buf)))
 	out = append(out, a.buf...)
@@ -38,17 +38,17 @@
 
 func (a *Actions) appendUint64(x uint64) { a.buf = binary.BigEndian.AppendUint64(a.buf, x) }
 
-// appendDuration appends a duration or a time, with 0 in the place of what is negative.
+// appendDuration appends a duration or a time. Negative values are encoded as 0.
 func (a *Actions) appendDuration(d time.Duration) { a.appendUint64(uint64(max(d, 0))) }
 
-// appendBytes appends a length of 2 bytes and as much of p as that can count.
+// appendBytes appends a length of 2 bytes and p, which is truncated to the maximum length.
 func (a *Actions) appendBytes(p []byte) {
 	p = p[:min(len(p), math.MaxUint16)]
 	a.buf = binary.BigEndian.AppendUint16(a.buf, uint16(len(p)))
 	a.buf = append(a.buf, p...)
 }
 
-// Host is the policy.Host of one gateway: it appends each action to Out.
+// Host implements policy.Host for one gateway by appending each action to Out.
 type Host struct {
 	Out      *Actions
 	Instance uint16 // the gateway's number
@@ -92,7 +92,7 @@
 
 // SendToPeer implements policy.Host.
 func (h Host) SendToPeer(peer int, message []byte) {
-	h.Out.appendHeader(actionTell, h.Instance)
+	h.Out.appendHeader(actionSendToPeer, h.Instance)
 	h.Out.buf = binary.BigEndian.AppendUint32(h.Out.buf, uint32(int32(peer)))
 	h.Out.appendBytes(message)
 }
--- a/internal/daemon/wire/decode.go
+++ b/internal/daemon/wire/decode.go
@@ -12,19 +12,19 @@
 	"sprucelane.example/sprucelane/policy"
 )
 
-// MaxBatchSize is the longest batch accepted, in bytes.
+// MaxBatchSize is the maximum length of a batch, in bytes.
 const MaxBatchSize = 1 << 29
 
 // listEntrySize is the size in bytes of a server in a list.
 const listEntrySize = 23
 
-// clientRetryFlag is the flag of a request that a client sends again.
+// clientRetryFlag is the flag of a request that is a client's retry.
 const clientRetryFlag = 2
 
 // maxCount bounds counts that are encoded as floats.
 const maxCount = 1 << 20
 
-// ReadBatch reads one batch. The error is io.EOF only if the input ends between batches.
+// ReadBatch reads one batch. It returns io.EOF only if the input ends between batches.
 func ReadBatch(in io.Reader) (*Batch, error) {
 	var head [8]byte
 	if _, err := io.ReadFull(in, head[:]); err != nil {
@@ -37,7 +37,7 @@
 	if size < 8 || size > MaxBatchSize {
 		return nil, fmt.Errorf("impossible batch length %d", size)
 	}
-	var body bytes.Buffer // grows with what really arrives, not with what the header claims
+	var body bytes.Buffer // grows with the data received, not with the length in the header
 	if n, err := io.CopyN(&body, in, int64(size)); err != nil {
 		return nil, fmt.Errorf("truncated batch: %d of %d bytes", n, size)
 	}
@@ -64,8 +64,8 @@
 	return b, nil
 }
 
-// decoder reads from the front of data. A read past its end sets truncated and returns zeros, or nil for more than 8
-// bytes, so that truncated is checked once for each event.
+// decoder reads from the front of data. A read past the end of data sets truncated and returns zeros, or nil for more
+// than 8 bytes, so that truncated need be checked only once per event.
 type decoder struct {
 	data      []byte
 	truncated bool
@@ -94,7 +94,7 @@
 	return time.Duration(min(d.u64(), math.MaxInt64))
 }
 
-// count reads a float that is a small count; 0 if it is none.
+// count reads a count that is encoded as a float. It returns 0 if the value is out of range.
 func (d *decoder) count() int {
 	if x := d.f32(); x >= 0 && x < maxCount {
 		return int(x)
@@ -119,7 +119,7 @@
 	return out
 }
 
-// event reads an event. The error is for a code that is unknown.
+// event reads an event. It returns an error if the code is unknown.
 func (d *decoder) event() (Event, error) {
 	e := Event{Code: EventCode(d.u8())}
 	if e.Code == ListDefined {
