--- a/internal/daemon/discovery/backoff.go
+++ b/internal/daemon/discovery/backoff.go
@@ -37,7 +37,7 @@
 const backoffStream = 0x6469736376
 
 // NewBackoff returns a backoff whose jitter is determined by a seed. A busy source is called again after at most about
-// retryWithin; 0 means defaultRetryWithin.
+// retryWithin; 0 means 10 s.
 func NewBackoff(seed uint64, retryWithin time.Duration) *Backoff {
 	if retryWithin <= 0 {
 		retryWithin = defaultRetryWithin
@@ -47,7 +47,7 @@
 	return b
 }
 
-// reset resets the steps after an answer.
+// reset resets the steps and the time since the last answer, after an answer.
 func (b *Backoff) reset() {
 	b.unreachableStep, b.rejectedStep, b.sinceAnswer = minBackoff, b.retryWithin/firstRejectedDivisor, 0
 }
--- a/internal/daemon/inflight/report.go
+++ b/internal/daemon/inflight/report.go
@@ -3,7 +3,8 @@
 // This file has the reports and their encoding.
 //
 // A report is a datagram with these fields (sizes in bytes; integers are big endian):
-//   - kind (1), format version (1), sequence number (2), number of members with failures (1)
+//   - kind (1), format version (1), sequence number (2), which increases with each report, number of members with
+//     failures (1)
 //   - for each member with failures: its hash (2), the attempts that failed (1) and the attempts that were made (1),
 //     both in eighths of an attempt
 //   - for each request in flight: the hash (2) of its member
