--- a/internal/simulation/bubble/connection.go
+++ b/internal/simulation/bubble/connection.go
@@ -9,10 +9,11 @@
 	"time"
 )
 
-// connection is a TCP connection with both of its ends. The mutex of the network guards all fields here.
+// connection is a TCP connection with both of its ends. The mutex of the network guards the fields of
+// connection and endpoint.
 type connection struct {
 	network *Network
-	ends    [2]*endpoint // of the host that dialed, and of the one that accepted
+	ends    [2]*endpoint // of the host that dialed, and of the host that accepted
 }
 
 // endpoint is one side of a connection. It implements net.Conn.
@@ -23,23 +24,23 @@
 	peer       *endpoint
 
 	// From the other side.
-	received     []byte // and not read yet
-	remoteClosed bool   // the other side has closed, and received is the rest
+	received     []byte // bytes received and not read yet
+	remoteClosed bool   // the other side has closed, and received holds the remaining bytes
 	readDeadline time.Time
-	wake         chan struct{} // closed, and replaced, when a read may go on
+	wake         chan struct{} // closed, and replaced, when blocked reads must check the state again
 
 	// To the other side.
-	inFlight     []segment // not delivered yet, in order
-	lastArrival  time.Time // of the newest segment: the order of segments stays
-	unackedSince time.Time // since when data goes without acknowledgement; zero if none does
+	inFlight     []segment // segments not delivered yet, in order
+	lastArrival  time.Time // of the newest segment; later segments don't arrive before it, as TCP keeps the order
+	unackedSince time.Time // since when data has been without acknowledgement; zero if none is
 	closing      bool
 
-	failure error // why nothing more is read or written on this side
+	failure error // the cause for which this side has ended; nil while it is open
 }
 
-// segment is what one write sent, or the end of the stream.
+// segment holds the data of one write, or marks the end of the stream.
 type segment struct {
-	arrival time.Time // at the earliest: a partition may hold it back
+	arrival time.Time // the earliest time of arrival: a partition may hold the segment back
 	data    []byte
 	fin     bool // the sender has closed
 }
@@ -59,13 +60,14 @@
 	return a == l.from && b == l.to || a == l.to && b == l.from
 }
 
-// wakeReaders lets reads that wait here look again.
+// wakeReaders wakes the blocked reads of this side, so that they check the state again.
 func (e *endpoint) wakeReaders() {
 	close(e.wake)
 	e.wake = make(chan struct{})
 }
 
-// fail ends this side. The first cause stays. Once both sides have ended the network forgets the connection.
+// fail ends this side. If it has already ended, the first cause is kept. Once both sides have ended, the
+// connection is removed from the network.
 func (e *endpoint) fail(cause error) {
 	if e.failure != nil {
 		return
@@ -92,7 +94,7 @@
 	}
 }
 
-// readAvailable reads without waiting. Without either result there is nothing to read yet.
+// readAvailable reads without waiting. It returns 0 and no error if there is nothing to read yet.
 func (e *endpoint) readAvailable(into []byte) (int, error) {
 	switch {
 	case e.failure != nil:
@@ -109,7 +111,7 @@
 	return 0, nil
 }
 
-// awaitUntil waits until wake is closed or the deadline passes; a zero one never does.
+// awaitUntil waits until wake is closed or the deadline passes. A zero deadline never passes.
 func awaitUntil(wake chan struct{}, deadline time.Time) {
 	if deadline.IsZero() {
 		<-wake
@@ -138,7 +140,7 @@
 	return len(data), nil
 }
 
-// transmit sends a segment, to arrive after those before it.
+// transmit sends a segment, which arrives after the segments sent before it.
 func (e *endpoint) transmit(sent segment) {
 	n := e.connection.network
 	at := time.Now().Add(n.drawDelay())
@@ -154,8 +156,8 @@
 	time.AfterFunc(time.Until(at), func() { n.deliverDue(e) })
 }
 
-// deliverDue delivers the segments that are due, unless a partition holds them back. If their acknowledgement
-// is lost to a partition of the way back, the sender still counts them as unacknowledged.
+// deliverDue delivers the segments that are due, unless a partition holds them back. If a partition of the
+// opposite direction loses their acknowledgement, the sender still counts them as unacknowledged.
 func (n *Network) deliverDue(e *endpoint) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -177,7 +179,8 @@
 	}
 }
 
-// deliver hands a segment to the other side, or learns by a reset that there is none any more.
+// deliver hands a segment to the other side. If that side has ended, it answers with a reset, which ends this
+// side.
 func (e *endpoint) deliver(arrived segment) {
 	if e.peer.failure != nil {
 		e.fail(syscall.ECONNRESET)
@@ -192,8 +195,8 @@
 	e.peer.wakeReaders()
 }
 
-// checkUserTimeout ends a side whose data has gone without acknowledgement for userTimeout. Its reset reaches
-// the other side, unless that is partitioned and only notices by keep-alive.
+// checkUserTimeout ends a side whose data has been without acknowledgement for userTimeout. Its reset reaches
+// the other side, unless the link to it is partitioned: then it ends only by its keep-alive probes.
 func (n *Network) checkUserTimeout(e *endpoint) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -206,14 +209,14 @@
 	}
 	e.fail(syscall.ETIMEDOUT)
 	peer := e.peer
-	noticeDelay := keepAliveTimeout
+	detectionDelay := keepAliveTimeout
 	if !n.isPartitioned(e.host.ip, peer.host.ip) {
-		noticeDelay = n.drawDelay()
+		detectionDelay = n.drawDelay()
 	}
-	time.AfterFunc(noticeDelay, func() { n.reset(peer) })
+	time.AfterFunc(detectionDelay, func() { n.reset(peer) })
 }
 
-// Close implements net.Conn. What was written is still delivered.
+// Close implements net.Conn. Data that was written before is still delivered.
 func (e *endpoint) Close() error {
 	n := e.connection.network
 	n.mutex.Lock()
@@ -233,7 +236,7 @@
 // RemoteAddr implements net.Conn.
 func (e *endpoint) RemoteAddr() net.Addr { return e.peer.local }
 
-// SetDeadline implements net.Conn. Writes never wait.
+// SetDeadline implements net.Conn. It sets the read deadline only, because writes never wait.
 func (e *endpoint) SetDeadline(deadline time.Time) error { return e.SetReadDeadline(deadline) }
 
 // SetReadDeadline implements net.Conn.
--- a/internal/simulation/bubble/disk.go
+++ b/internal/simulation/bubble/disk.go
@@ -7,15 +7,15 @@
 	"sprucelane.example/sprucelane/internal/simulation"
 )
 
-// Disk is the disk of a machine, over all incarnations of its process.
+// Disk is the disk of a machine. It outlives the incarnations of the machine's process.
 type Disk struct {
-	mutex       sync.Mutex // guards all below, and disk
+	mutex       sync.Mutex // guards the fields below, and the contents of disk
 	disk        *simulation.Disk
 	incarnation int // of the process that has mounted it
-	syncFactor  int // syncs take so many times as long
+	syncFactor  int // multiplies the duration of syncs
 	stalled     bool
-	written     int64 // bytes, ever
-	syncs       int64 // ever
+	written     int64 // bytes, since the disk was created
+	syncs       int64 // since the disk was created
 }
 
 // NewDisk returns an empty disk.
@@ -31,7 +31,7 @@
 	return &mount{disk: d, incarnation: d.incarnation}
 }
 
-// Kill ends the incarnation that uses the disk. All that it wrote stays.
+// Kill ends the incarnation that uses the disk. All data that it wrote stays.
 func (d *Disk) Kill() { d.unmount(d.disk.Kill) }
 
 // LosePower ends the incarnation that uses the disk, and keeps, loses or tears each write that was not
@@ -41,7 +41,7 @@
 // Wipe ends the incarnation that uses the disk, and empties the disk.
 func (d *Disk) Wipe() { d.unmount(d.disk.Wipe) }
 
-// unmount ends the present mount and its faults, and applies what that does to the contents.
+// unmount ends the current mount, its stall and its slow syncs. apply changes the contents of the disk.
 func (d *Disk) unmount(apply func()) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -50,14 +50,14 @@
 	apply()
 }
 
-// SlowSyncs makes syncs take so many times as long, until the next Kill, LosePower or Wipe.
+// SlowSyncs multiplies the duration of syncs by factor, until the next Kill, LosePower or Wipe.
 func (d *Disk) SlowSyncs(factor int) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.syncFactor = factor
 }
 
-// SetStalled makes the disk answer nothing while stalled: its operations block.
+// SetStalled starts or ends a stall of the disk. Operations block while the disk is stalled.
 func (d *Disk) SetStalled(stalled bool) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
--- a/internal/simulation/bubble/doc.go
+++ b/internal/simulation/bubble/doc.go
@@ -5,14 +5,14 @@
 // does under faults:
 //
 //   - A partition, in one direction or both, holds bytes back until it heals.
-//   - Data that stays without acknowledgement ends its connection at the sender, as with TCP_USER_TIMEOUT.
+//   - The sender ends a connection whose data stays without acknowledgement, as with TCP_USER_TIMEOUT.
 //   - Keep-alive probes end an idle connection over a partition.
 //   - A process that is killed resets its connections; a machine without power sends nothing.
 //
-// A [Disk] is a simulation.Disk whose syncs take their time. It outlives the incarnations of its process:
-// each mounts it anew, and files of earlier mounts fail.
+// A [Disk] is a simulation.Disk whose syncs take virtual time. It outlives the incarnations of its
+// process: each incarnation mounts it again, and files of earlier mounts fail.
 //
-// Both are created inside the bubble that uses them, and are safe for concurrent use. Unlike in package
-// simulation, the scheduler decides the order of goroutines that run at the same virtual time: a seed replays
-// the faults and the calls of a simulation exactly, but their consequences only mostly.
+// Networks and disks must be created inside the bubble that uses them, and are safe for concurrent use. Unlike
+// in package simulation, the scheduler decides the order of goroutines that run at the same virtual time: a seed
+// replays the faults and the calls of a simulation exactly, but their consequences may differ in some runs.
 package bubble
--- a/internal/simulation/bubble/host.go
+++ b/internal/simulation/bubble/host.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// listenBacklog is how many connections wait to be accepted by one listener.
+// listenBacklog is the number of connections that may wait for Accept at one listener.
 const listenBacklog = 1024
 
 // Host is one incarnation of a process on a machine with an IP address.
@@ -20,7 +20,8 @@
 	listeners map[string]*listener // by address
 }
 
-// StartHost starts an incarnation on the machine with an IP address. Connections of the one before end.
+// StartHost starts an incarnation on the machine with an IP address. The previous incarnation and its
+// connections end.
 func (n *Network) StartHost(ip string) *Host {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -36,19 +37,19 @@
 // Kill ends the process. The kernel of its machine resets its connections.
 func (h *Host) Kill() { h.stop(0) }
 
-// LosePower ends the machine, which sends nothing: peers notice by their time-outs.
+// LosePower ends the machine, which sends nothing, no resets either: peers detect this by their time-outs.
 func (h *Host) LosePower() { h.stop(keepAliveTimeout) }
 
-// stop ends the incarnation. Its peers notice after a delay.
-func (h *Host) stop(noticeDelay time.Duration) {
+// stop ends the incarnation. Its peers detect this after detectionDelay.
+func (h *Host) stop(detectionDelay time.Duration) {
 	n := h.network
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	h.markDead()
-	n.endConnections(h, noticeDelay)
+	n.endConnections(h, detectionDelay)
 }
 
-// markDead closes the listeners. The caller holds the mutex of the network.
+// markDead marks the incarnation as ended, and closes its listeners. The caller holds the mutex of the network.
 func (h *Host) markDead() {
 	h.dead = true
 	for _, l := range h.listeners {
@@ -94,10 +95,11 @@
 	}
 }
 
-// errNoAnswer is the error of a connection attempt that was lost on the way.
-var errNoAnswer = errors.New("bubble: no answer")
+// errNoAnswer is returned for a connection attempt that the other machine didn't answer.
+var errNoAnswer = errors.New("bubble: remote machine did not answer")
 
-// dial tries once, for a round trip. It returns errNoAnswer if the other machine is dead or partitioned.
+// dial makes one connection attempt, which takes a round trip. It returns errNoAnswer if the other machine is
+// dead or partitioned.
 func (h *Host) dial(ip, address string) (net.Conn, error) {
 	n := h.network
 	n.mutex.Lock()
@@ -122,7 +124,7 @@
 	select {
 	case l.accepted <- c.ends[1]:
 	default:
-		return nil, errors.New("bubble: the backlog is full")
+		return nil, errors.New("bubble: backlog of the listener is full")
 	}
 	n.connections[c] = true
 	return c.ends[0], nil
--- a/internal/simulation/bubble/mount.go
+++ b/internal/simulation/bubble/mount.go
@@ -7,7 +7,7 @@
 	"sprucelane.example/sprucelane/internal/simulation"
 )
 
-// stallPollInterval is how often a blocked operation checks whether the disk is stalled still.
+// stallPollInterval is how often a blocked operation checks whether the disk is still stalled.
 const stallPollInterval = 10 * time.Millisecond
 
 // mount is the disk as one incarnation of the process sees it. It implements slots.FS.
@@ -16,7 +16,8 @@
 	incarnation int
 }
 
-// do runs an operation as soon as the disk isn't stalled. After the end of the incarnation it fails instead.
+// do runs an operation as soon as the disk isn't stalled. After the end of the incarnation it returns
+// simulation.ErrPowerLost instead.
 func (m *mount) do(operation func() error) error {
 	for m.stalled() {
 		time.Sleep(stallPollInterval)
@@ -30,16 +31,17 @@
 	return operation()
 }
 
-// doSync runs an operation that makes something durable, in the middle of the time that it takes: a crash
-// before that finds nothing durable, and a crash after it everything, though the sync hasn't returned.
+// doSync runs an operation that makes changes durable, halfway through the time that it takes: a crash before
+// that point finds none of the changes synced, and a crash after it finds all of them synced, though the sync
+// hasn't returned.
 func (m *mount) doSync(operation func() error) error {
 	m.disk.mutex.Lock()
-	takes := m.disk.disk.SyncTime * time.Duration(m.disk.syncFactor)
+	duration := m.disk.disk.SyncTime * time.Duration(m.disk.syncFactor)
 	m.disk.syncs++
 	m.disk.mutex.Unlock()
-	time.Sleep(takes / 2)
+	time.Sleep(duration / 2)
 	err := m.do(operation)
-	time.Sleep(takes / 2)
+	time.Sleep(duration / 2)
 	return err
 }
 
--- a/internal/simulation/bubble/network.go
+++ b/internal/simulation/bubble/network.go
@@ -10,39 +10,39 @@
 
 // Times of the network.
 const (
-	// minDelay is the least latency of a segment, and delayJitter bounds what is added to it at random.
+	// minDelay is the least latency of a segment, and delayJitter bounds the random latency that is added.
 	minDelay    = 200 * time.Microsecond
 	delayJitter = 400 * time.Microsecond
 	// userTimeout is how long data may go without acknowledgement, as coord/transport sets it.
 	userTimeout = 1500 * time.Millisecond
-	// keepAliveTimeout is after how long keep-alive probes end a connection whose other side doesn't answer.
+	// keepAliveTimeout is the time after which keep-alive probes end a connection whose other side doesn't answer.
 	keepAliveTimeout = 3 * time.Second
-	// maxRetransmitDelay bounds how long after a partition has healed the bytes that waited arrive, and how
-	// long a connection attempt waits before it tries again.
+	// maxRetransmitDelay bounds the time from the end of a partition to the arrival of the bytes that it held
+	// back. It is also the time between two connection attempts of Dial.
 	maxRetransmitDelay = 200 * time.Millisecond
 )
 
 // link is one direction between two machines, by their IP addresses.
 type link struct{ from, to string }
 
-// Network is all machines and the links between them.
+// Network holds all machines and the links between them.
 type Network struct {
-	// mutex guards all below, and the fields of all hosts, listeners and connections.
+	// mutex guards the fields below, and the fields of all hosts, listeners and connections.
 	mutex  sync.Mutex
 	random *rand.Rand
-	hosts  map[string]*Host // the present incarnation, by IP address
-	// partitions has the links that are partitioned now, each with the number of its partition:
-	// partitionCount counts them, so that a timer of one that has healed isn't taken for one of a later
-	// partition of the same link.
+	hosts  map[string]*Host // the current incarnations, by IP address
+	// partitions holds the number of the partition of each link that is partitioned now. partitionCount is the
+	// number of the latest partition. Partitions are numbered because the timer of a partition that has healed
+	// must not act on a later partition of the same link.
 	partitions     map[link]int
 	partitionCount int
-	connections    map[*connection]bool // those with an open end
+	connections    map[*connection]bool // connections with at least one open end
 	lastPort       int
-	received       map[string]int64 // bytes, by the IP address of the receiver
+	received       map[string]int64 // bytes received, by the IP address of the receiver
 }
 
-// NewNetwork returns a network without machines. Call it inside the bubble. The second word of the
-// generator's seed is an arbitrary constant.
+// NewNetwork returns a network without machines. It must be called inside the bubble. The second word of
+// the generator's seed is an arbitrary constant.
 func NewNetwork(seed uint64) *Network {
 	return &Network{
 		random:      rand.New(rand.NewPCG(seed, 11)),
@@ -81,7 +81,7 @@
 	}
 }
 
-// Heal ends a partition. Bytes that waited arrive within maxRetransmitDelay.
+// Heal ends a partition. Bytes that it held back arrive within maxRetransmitDelay.
 func (n *Network) Heal(from, to string) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -120,8 +120,9 @@
 	return n.received[ip]
 }
 
-// endConnections ends the connections of a host: its own ends at once, the others when they notice.
-func (n *Network) endConnections(h *Host, noticeDelay time.Duration) {
+// endConnections ends the connections of a host: the host's ends immediately, those of its peers after
+// detectionDelay and the latency of one segment. The caller holds the mutex.
+func (n *Network) endConnections(h *Host, detectionDelay time.Duration) {
 	for c := range n.connections {
 		for side, end := range c.ends {
 			if end.host != h {
@@ -129,7 +130,7 @@
 			}
 			end.fail(net.ErrClosed)
 			peer := c.ends[1-side]
-			time.AfterFunc(noticeDelay+n.drawDelay(), func() { n.reset(peer) })
+			time.AfterFunc(detectionDelay+n.drawDelay(), func() { n.reset(peer) })
 		}
 	}
 }
--- a/internal/simulation/bubble/network_test.go
+++ b/internal/simulation/bubble/network_test.go
@@ -15,7 +15,7 @@
 // serverAddress is where the server of each test listens.
 const serverAddress = "10.0.0.2:70"
 
-// pair opens a connection between two machines.
+// pair opens a connection between two machines. It returns both ends, and the host that accepted.
 func pair(t *testing.T, n *Network) (from, to net.Conn, server *Host) {
 	t.Helper()
 	client, server := n.StartHost("10.0.0.1"), n.StartHost("10.0.0.2")
@@ -32,7 +32,7 @@
 	return from, to, server
 }
 
-// read reads once, within a time.
+// read makes one read, which fails after the given time.
 func read(t *testing.T, c net.Conn, within time.Duration) (string, error) {
 	t.Helper()
 	_ = c.SetReadDeadline(time.Now().Add(within))
@@ -68,7 +68,7 @@
 			t.Fatal(got, err)
 		}
 	})
-	oneWay := "over a partition in one direction the other delivers, and its sender times out without acknowledgements"
+	oneWay := "a partition in one direction lets data in the other pass, and its sender times out without acknowledgements"
 	fault(oneWay, func(t *testing.T, n *Network) {
 		from, to, _ := pair(t, n)
 		n.Partition("10.0.0.1", "10.0.0.2")
@@ -86,7 +86,7 @@
 			t.Fatal(err)
 		}
 	})
-	fault("a killed process resets its connections, one without power sends nothing", func(t *testing.T, n *Network) {
+	fault("a killed process resets its connections, a host without power sends nothing", func(t *testing.T, n *Network) {
 		from, _, server := pair(t, n)
 		server.Kill()
 		if _, err := read(t, from, time.Second); !errors.Is(err, syscall.ECONNRESET) {
--- a/internal/simulation/directory.go
+++ b/internal/simulation/directory.go
@@ -7,8 +7,8 @@
 	"sprucelane.example/sprucelane/coord/slots"
 )
 
-// directoryChange is a file that was created, renamed or removed. An empty from is a new file, an empty to a
-// removed one.
+// directoryChange is a file that was created, renamed or removed. from is empty for a created
+// file, and to is empty for a removed one.
 type directoryChange struct {
 	from, to string
 	file     *inode
@@ -38,7 +38,7 @@
 	return nil
 }
 
-// find returns the file with a name.
+// find returns the file with a name, or an error for the named operation.
 func (d *Disk) find(operation, name string) (*inode, error) {
 	if d.poweredOff {
 		return nil, ErrPowerLost
@@ -139,8 +139,8 @@
 	return nil
 }
 
-// syncFile makes a file durable, and its name if it is new: most file systems do so, though POSIX doesn't
-// demand it.
+// syncFile makes the contents of a file durable, and its name if the creation of the file isn't durable yet:
+// most file systems do so, though POSIX doesn't require it.
 func (d *Disk) syncFile(file *inode) {
 	d.latency += d.SyncTime
 	file.sync()
--- a/internal/simulation/disk.go
+++ b/internal/simulation/disk.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// ErrPowerLost is the error of operations on a disk without power, and on files that a process opened which
-// has ended.
+// ErrPowerLost is returned by operations on a disk without power, and on files that were opened by a process
+// that has ended.
 var ErrPowerLost = errors.New("simulation: power lost")
 
 // DefaultSyncTime is the initial Disk.SyncTime.
@@ -20,16 +20,16 @@
 	SyncTime time.Duration
 
 	random *Rand
-	// entries is the directory as processes see it; durableEntries is what a loss of power leaves of it at
-	// least, and unsynced are the changes between the two, in order.
+	// entries is the directory as processes see it. durableEntries is the durable directory, from which a loss
+	// of power starts, and unsynced are the changes that aren't durable yet, in order, of which it applies some.
 	entries        map[string]*inode
 	durableEntries map[string]*inode
 	unsynced       []directoryChange
 
-	capacity    int64 // bytes, 0 for no bound
-	failAt      int   // operations until the loss of power, 0 for never
+	capacity    int64 // bytes, 0 for no limit
+	failAt      int   // operations that change the disk until the loss of power, 0 for never
 	poweredOff  bool
-	incarnation int // of the processes that use it; files of earlier ones fail
+	incarnation int // of the processes that use the disk; files opened by earlier incarnations fail
 	operations  int
 	latency     time.Duration // of operations since the last TakeLatency
 }
@@ -49,7 +49,7 @@
 	d.Kill()
 }
 
-// Kill ends the processes that use the disk: open files fail from now on. All that was written stays.
+// Kill ends the processes that use the disk: open files fail from now on. All written data stays.
 func (d *Disk) Kill() {
 	d.incarnation++
 	d.poweredOff = false
@@ -57,7 +57,7 @@
 }
 
 // LosePower ends the processes, restores the power, and keeps, loses or tears each change that was not
-// synced. In one of five cases all of them are lost, which independent draws would hardly ever give.
+// synced. In one of five cases all changes are lost, because independent draws would hardly ever give that.
 func (d *Disk) LosePower() {
 	loseAll := d.random.Chance(0.2)
 	for _, change := range d.unsynced {
@@ -75,18 +75,18 @@
 	d.Kill()
 }
 
-// SetCapacity bounds the bytes in all files together. Zero removes the bound.
+// SetCapacity limits the total size of all files. Zero removes the limit.
 func (d *Disk) SetCapacity(bytes int64) {
 	d.capacity = bytes
 }
 
-// FailAt takes the power away within the n-th operation from now that changes the disk, counted from 1. That
+// FailAt cuts the power during the n-th operation from now that changes the disk, counted from 1. That
 // operation and all later ones fail with ErrPowerLost, until LosePower, Kill or Wipe.
 func (d *Disk) FailAt(n int) {
 	d.failAt = n
 }
 
-// PoweredOff reports whether FailAt has taken the power away and it hasn't come back.
+// PoweredOff reports whether the power was cut by FailAt and has not been restored.
 func (d *Disk) PoweredOff() bool {
 	return d.poweredOff
 }
@@ -109,8 +109,8 @@
 	return latency
 }
 
-// FlipBit inverts one bit of a file, as a failing medium does. It returns false if the file has no such byte
-// that is durable.
+// FlipBit inverts one bit of a file, as a failing medium does. It returns false if the file doesn't exist or
+// has no durable byte at the offset.
 func (d *Disk) FlipBit(name string, offset int64, bit int) bool {
 	file, ok := d.entries[name]
 	if !ok || offset >= int64(len(file.content)) || offset >= int64(len(file.durable)) {
@@ -122,7 +122,7 @@
 	return true
 }
 
-// countOperation counts an operation that changes the disk. It returns whether power is lost within it, or an
+// countOperation counts an operation that changes the disk. It returns whether power is lost during it, or an
 // error if the power is off already.
 func (d *Disk) countOperation() (losesPower bool, err error) {
 	if d.poweredOff {
@@ -139,7 +139,7 @@
 	return d.poweredOff, nil
 }
 
-// used returns the bytes in all files.
+// used returns the total size of all files in bytes.
 func (d *Disk) used() int64 {
 	var total int64
 	for _, file := range d.entries {
@@ -148,7 +148,7 @@
 	return total
 }
 
-// capacityFor returns how many of so many more bytes fit on the disk.
+// capacityFor returns how many of the given number of additional bytes fit on the disk.
 func (d *Disk) capacityFor(bytes int) int {
 	if d.capacity == 0 {
 		return bytes
@@ -156,7 +156,8 @@
 	return int(max(0, min(int64(bytes), d.capacity-d.used())))
 }
 
-// sortedNames returns the names in a directory in order. Draws must not depend on the order of a map.
+// sortedNames returns the names in a directory in sorted order, because random draws must not depend on the
+// order of a map.
 func sortedNames(entries map[string]*inode) []string {
 	return slices.Sorted(maps.Keys(entries))
 }
--- a/internal/simulation/disk_test.go
+++ b/internal/simulation/disk_test.go
@@ -17,7 +17,7 @@
 		So(err, ShouldBeNil)
 		So(file.Sync(), ShouldBeNil)
 
-		Convey("what is synced survives a loss of power, what isn't may be kept, lost or torn", func() {
+		Convey("synced data survives a loss of power, unsynced data may be kept, lost or torn", func() {
 			seen := make(map[string]bool)
 			for range 300 {
 				file, err := d.Open("a")
@@ -43,7 +43,7 @@
 			So(len(seen), ShouldBeGreaterThan, 3)
 		})
 
-		Convey("names last once the folder is synced", func() {
+		Convey("names survive a loss of power once the directory is synced", func() {
 			So(d.Rename("a", "b"), ShouldBeNil)
 			So(d.SyncDir(), ShouldBeNil)
 			lost, kept := false, false
@@ -62,7 +62,7 @@
 			So(kept && lost, ShouldBeTrue)
 		})
 
-		Convey("a kill keeps all that was written and ends open files", func() {
+		Convey("a kill keeps all written data, and open files fail", func() {
 			_, _ = file.Write([]byte(" and more"))
 			d.Kill()
 			data, err := d.ReadAll("a")
@@ -87,7 +87,7 @@
 			So(err, ShouldEqual, ErrPowerLost)
 		})
 
-		Convey("what is on the medium after a loss of power stays until the next sync", func() {
+		Convey("contents that are left after a loss of power are durable until the next sync", func() {
 			d.LosePower()
 			for range 50 {
 				file, err := d.Open("a")
@@ -106,7 +106,7 @@
 				_, _ = again.Write([]byte("synced"))
 				So(again.Sync(), ShouldBeNil)
 			}
-			t.Fatal("the loss of both changes never came")
+			t.Fatal("no loss of power lost both the truncation and the write")
 		})
 
 		Convey("a bit can be flipped after a loss of power, too", func() {
--- a/internal/simulation/doc.go
+++ b/internal/simulation/doc.go
@@ -1,7 +1,7 @@
 // Package simulation is deterministic simulation testing for state machines, in the way of FoundationDB and
-// TigerBeetle: virtual time, machines, a network and disks in one goroutine, in which a seed decides
-// everything that is left to chance. Nothing in it waits or reads the real clock, and the same seed gives the
-// same run, so that a failure is replayed by its seed alone.
+// TigerBeetle: virtual time, machines, a network and disks in one goroutine, in which a seed determines
+// every random decision. Nothing in it waits or reads the real clock, and the same seed gives the
+// same run, so that a seed is enough to replay a failure.
 //
 // # Simulation
 //
@@ -15,12 +15,12 @@
 //
 // # Disk
 //
-// A [Disk] implements slots.FS and keeps apart what processes see and what is durable. [Disk.LosePower]
+// A [Disk] implements slots.FS and tracks what processes see and what is durable separately. [Disk.LosePower]
 // keeps, loses or tears each write that was not synced, in any combination, so that later writes may survive
 // earlier ones; the same holds for names that were created, renamed or removed without [Disk.SyncDir].
 // [Disk.Kill] ends the process and keeps everything, as the page cache does; [Disk.Wipe] loses everything.
-// [Disk.FailAt] takes the power away within a chosen operation: a test that tries each in turn covers every
-// crash point. [Disk.SetCapacity] fills the disk and [Disk.FlipBit] corrupts it.
+// [Disk.FailAt] cuts the power during a chosen operation: a test that tries each operation in turn covers
+// every crash point. [Disk.SetCapacity] fills the disk and [Disk.FlipBit] corrupts it.
 //
 // # Randomness
 //
--- a/internal/simulation/event.go
+++ b/internal/simulation/event.go
@@ -8,12 +8,12 @@
 	sequence    uint64        // in the order of scheduling
 	run         func()
 	machine     *machine // nil for an event of the simulation itself
-	incarnation uint64   // of the machine's process, for a timer
-	timer       bool     // it belongs to the process, and ends with it; messages don't
+	incarnation uint64   // of the process that set the timer; unused for messages
+	timer       bool     // set for timers, which end with the process that set them; messages don't
 	canceled    bool
 }
 
-// Cancel keeps an event from running, if it hasn't yet.
+// Cancel keeps an event from running. It has no effect on an event that has already run.
 func (e *Event) Cancel() {
 	e.canceled = true
 }
--- a/internal/simulation/example_test.go
+++ b/internal/simulation/example_test.go
@@ -27,7 +27,7 @@
 	// elapsed: 1s
 }
 
-// A store on a disk that loses power within an append keeps what was acknowledged.
+// A store on a disk that loses power during an append keeps the records that were acknowledged.
 func ExampleDisk() {
 	disk := simulation.NewDisk(simulation.NewRand(1))
 	store, _, err := slots.Open(disk, slots.Options{})
--- a/internal/simulation/file.go
+++ b/internal/simulation/file.go
@@ -14,7 +14,7 @@
 	closed      bool
 }
 
-// check returns why the file can't be used, or nil.
+// check returns an error if the file was closed or its process has ended.
 func (f *diskFile) check() error {
 	if f.closed {
 		return fs.ErrClosed
@@ -82,7 +82,8 @@
 	return nil
 }
 
-// Sync implements slots.File. If power is lost within it, nothing has become durable for sure.
+// Sync implements slots.File. If power is lost during it, none of the unsynced changes is guaranteed to
+// be durable.
 func (f *diskFile) Sync() error {
 	if err := f.check(); err != nil {
 		return err
--- a/internal/simulation/inode.go
+++ b/internal/simulation/inode.go
@@ -2,14 +2,14 @@
 
 import "slices"
 
-// inode is the contents of one file: what is on the medium, and the changes since the last sync.
+// inode holds the contents of one file: what is on the medium, and the changes since the last sync.
 type inode struct {
 	content  []byte // as processes see it
 	durable  []byte // as of the last sync
 	unsynced []contentChange
 }
 
-// contentChange is a write at an offset, or a new length if data is nil.
+// contentChange is a write at an offset. If data is nil it sets the length of the file to offset.
 type contentChange struct {
 	offset int
 	data   []byte
@@ -47,7 +47,8 @@
 	n.unsynced = nil
 }
 
-// losePower keeps, loses or tears each change since the last sync, in their order. What is left is durable.
+// losePower keeps, loses or tears each change since the last sync, in their order. The resulting
+// contents are durable.
 func (n *inode) losePower(random *Rand, loseAll bool) {
 	content := slices.Clone(n.durable)
 	for _, change := range n.unsynced {
@@ -60,7 +61,7 @@
 	n.sync()
 }
 
-// tear returns the change as it is, or a part of a write. A new length is never torn.
+// tear returns the change as it is, or a random part of a write. A change of the length is never torn.
 func tear(whole contentChange, random *Rand) contentChange {
 	if len(whole.data) < 2 || random.Chance(0.5) {
 		return whole
--- a/internal/simulation/links.go
+++ b/internal/simulation/links.go
@@ -2,11 +2,12 @@
 
 import "time"
 
-// Link is how messages travel from one machine to another.
+// Link describes how messages travel from one machine to another.
 type Link struct {
 	// Delay is the least latency of a message.
 	Delay time.Duration
-	// Jitter bounds a random latency that is added to Delay. It lets messages overtake each other.
+	// Jitter bounds a random latency that is added to Delay. It lets messages overtake each other, unless the
+	// link is ordered.
 	Jitter time.Duration
 	// Loss is the probability that a message is lost, 0 to 1.
 	Loss float64
@@ -24,7 +25,7 @@
 type Links struct {
 	// Default is the link of directions for which Set was not called.
 	Default Link
-	// Filter, if set, returns false for messages to lose.
+	// Filter, if set, returns false for each message that must be lost.
 	Filter func(from, to string, message any) bool
 
 	links       map[direction]Link
@@ -47,17 +48,17 @@
 	l.links[direction{from, to}] = link
 }
 
-// Partition loses all messages in one direction until Heal.
+// Partition drops all messages in one direction until Heal or HealAll.
 func (l *Links) Partition(from, to string) {
 	l.partitioned[direction{from, to}] = true
 }
 
-// Heal ends a Partition.
+// Heal ends the partition of one direction.
 func (l *Links) Heal(from, to string) {
 	delete(l.partitioned, direction{from, to})
 }
 
-// PartitionGroups partitions each machine of one group from each of the other, in both directions.
+// PartitionGroups partitions each machine of one group from each machine of the other, in both directions.
 func (l *Links) PartitionGroups(group, others []string) {
 	for _, one := range group {
 		for _, other := range others {
--- a/internal/simulation/machine.go
+++ b/internal/simulation/machine.go
@@ -6,9 +6,9 @@
 type machine struct {
 	stopped     bool
 	paused      bool
-	incarnation uint64 // of its process: the number of stops so far
+	incarnation uint64 // of its process: the number of times that it was stopped
 	lag         time.Duration
-	waiting     []*Event // those that came due while it was paused, in order
+	waiting     []*Event // events that came due while the machine was paused, in order
 }
 
 // Stop ends a machine's process: its timers never run, and messages that arrive are lost.
@@ -30,12 +30,12 @@
 	return s.machine(name).stopped
 }
 
-// Pause lets nothing run on a machine until Resume.
+// Pause delays all messages and timers of a machine until Resume.
 func (s *Simulation) Pause(name string) {
 	s.machine(name).paused = true
 }
 
-// Resume runs what waited for a paused machine, at once and in order.
+// Resume schedules the events that waited for a paused machine, without delay and in order.
 func (s *Simulation) Resume(name string) {
 	m := s.machine(name)
 	m.paused = false
@@ -46,13 +46,13 @@
 	}
 }
 
-// SetLag delays each message and timer of a machine by a random time below this one, as a lack of processor
-// time does. It applies to those that are scheduled from now on.
+// SetLag delays each message and timer of a machine by a random time below lag, as a lack of processor
+// time does. It applies to messages and timers that are scheduled from now on.
 func (s *Simulation) SetLag(name string, lag time.Duration) {
 	s.machine(name).lag = lag
 }
 
-// machine returns the machine with a name, which is created at its first use.
+// machine returns the machine with a name, and creates it at its first use.
 func (s *Simulation) machine(name string) *machine {
 	m, ok := s.machines[name]
 	if !ok {
@@ -62,7 +62,7 @@
 	return m
 }
 
-// drawLag returns the delay of one event on a machine.
+// drawLag returns a random delay below the lag of a machine, for one event.
 func (s *Simulation) drawLag(m *machine) time.Duration {
 	return s.Random.Between(0, m.lag)
 }
--- a/internal/simulation/rand.go
+++ b/internal/simulation/rand.go
@@ -6,14 +6,14 @@
 	"time"
 )
 
-// Rand is a source of random numbers that a seed determines. Tests are replayed by seed: the order of draws
-// matters.
+// Rand is a source of random numbers that are determined by a seed. Tests are replayed by seed, so a
+// change of the order of draws changes the run.
 type Rand struct {
 	*rand.Rand
 	seed uint64
 }
 
-// NewRand returns the source of a seed. The second word of the generator's seed is an arbitrary constant.
+// NewRand returns the source for a seed. The second word of the generator's seed is an arbitrary constant.
 func NewRand(seed uint64) *Rand {
 	return &Rand{Rand: rand.New(rand.NewPCG(seed, 0x9e3779b97f4a7c15)), seed: seed}
 }
@@ -23,19 +23,19 @@
 	return r.seed
 }
 
-// Fork returns a source that the seed and a name determine, whatever was drawn from this one before.
+// Fork returns a source that is determined by the seed and a name only: earlier draws from r don't affect it.
 func (r *Rand) Fork(name string) *Rand {
 	hash := fnv.New64a()
 	_, _ = hash.Write([]byte(name))
 	return NewRand(r.seed ^ hash.Sum64())
 }
 
-// Chance returns true with this probability.
+// Chance returns true with the given probability.
 func (r *Rand) Chance(probability float64) bool {
 	return r.Float64() < probability
 }
 
-// Between returns a duration in [low, high).
+// Between returns a random duration in [low, high), or low if that interval is empty.
 func (r *Rand) Between(low, high time.Duration) time.Duration {
 	if high <= low {
 		return low
--- a/internal/simulation/seeds/seeds.go
+++ b/internal/simulation/seeds/seeds.go
@@ -2,7 +2,7 @@
 // is selected in the same way:
 //
 //	SEEDS=1000 go test -run Random ./internal/...          1000 simulations of each test
-//	FIRST=6691 SEEDS=1 go test -run Random ./internal/...  replays the one with seed 6691
+//	FIRST=6691 SEEDS=1 go test -run Random ./internal/...  replays the simulation with seed 6691
 //
 // It is for tests only.
 package seeds
@@ -18,8 +18,8 @@
 	return Number("FIRST", defaultFirst), Number("SEEDS", defaultCount)
 }
 
-// Number returns an environment variable that is a whole number of 0 or more; the default value if it is
-// unset or anything else.
+// Number returns the value of an environment variable that holds an unsigned integer, or the default value if
+// the variable is unset or holds anything else.
 func Number(variable string, defaultValue uint64) uint64 {
 	if number, err := strconv.ParseUint(os.Getenv(variable), 10, 64); err == nil {
 		return number
--- a/internal/simulation/seeds/seeds_test.go
+++ b/internal/simulation/seeds/seeds_test.go
@@ -10,10 +10,10 @@
 	}{
 		{"neither is set", "", "", 1, 12},
 		{"one seed is replayed", "6691", "1", 6691, 1},
-		{"the number alone", "", "1000", 1, 1000},
-		{"the first alone", "7", "", 7, 12},
-		{"zero is a value", "0", "0", 0, 0},
-		{"what is no number is ignored", "x", "-1", 1, 12},
+		{"only the number is set", "", "1000", 1, 1000},
+		{"only the first seed is set", "7", "", 7, 12},
+		{"zero is a valid value", "0", "0", 0, 0},
+		{"values that are not unsigned integers are ignored", "x", "-1", 1, 12},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			t.Setenv("FIRST", test.firstText)
--- a/internal/simulation/simulation.go
+++ b/internal/simulation/simulation.go
@@ -10,19 +10,19 @@
 
 // Simulation runs events in the order of their times, and of their scheduling if the times are equal.
 type Simulation struct {
-	// Random decides all that is left to chance.
+	// Random is the source of all random decisions.
 	Random *Rand
 	// Links carry the messages.
 	Links *Links
 
 	now       time.Duration // since epoch
 	events    eventQueue
-	scheduled uint64 // events that were ever scheduled
+	scheduled uint64 // number of events scheduled so far
 	machines  map[string]*machine
-	sent      uint64 // messages, lost ones included
+	sent      uint64 // number of messages sent so far, lost ones included
 }
 
-// New returns a simulation in which nothing has happened.
+// New returns a simulation at the start of its virtual time, without events.
 func New(seed uint64) *Simulation {
 	random := NewRand(seed)
 	return &Simulation{Random: random, Links: newLinks(), machines: make(map[string]*machine)}
@@ -38,13 +38,13 @@
 	return s.now
 }
 
-// After runs a function after a delay, whatever becomes of any machine.
+// After runs a function after a delay, regardless of the state of any machine.
 func (s *Simulation) After(delay time.Duration, run func()) *Event {
 	return s.schedule(&Event{run: run}, delay)
 }
 
-// AfterOn runs a function on a machine after a delay. It never runs if the machine is stopped before, and
-// runs late if the machine is paused or lags.
+// AfterOn runs a function on a machine after a delay. The function never runs if the machine is stopped
+// before it is due, and runs late if the machine is paused or lags.
 func (s *Simulation) AfterOn(name string, delay time.Duration, run func()) *Event {
 	m := s.machine(name)
 	event := &Event{run: run, machine: m, incarnation: m.incarnation, timer: true}
@@ -81,7 +81,7 @@
 	return true
 }
 
-// Run runs all events of the next duration, and lets that much time pass.
+// Run runs all events that are due within duration, and advances the virtual time by it.
 func (s *Simulation) Run(duration time.Duration) {
 	end := s.now + duration
 	for len(s.events) > 0 && s.events[0].at <= end {
@@ -90,7 +90,8 @@
 	s.now = end
 }
 
-// dispatch runs an event that is due, unless it was canceled or the state of its machine forbids it.
+// dispatch runs an event that is due. Events that were canceled, events of a stopped machine and timers of an
+// earlier incarnation are dropped; events of a paused machine wait for Resume.
 func (s *Simulation) dispatch(event *Event) {
 	m := event.machine
 	switch {
@@ -105,7 +106,7 @@
 	}
 }
 
-// schedule adds an event to the queue. A negative delay counts as none.
+// schedule adds an event to the queue. A negative delay counts as zero.
 func (s *Simulation) schedule(event *Event, delay time.Duration) *Event {
 	event.at = s.now + max(delay, 0)
 	event.sequence = s.scheduled
--- a/internal/simulation/simulation_test.go
+++ b/internal/simulation/simulation_test.go
@@ -8,7 +8,8 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// pingPong runs two machines that answer each other over a lossy link, and returns the trace.
+// pingPong runs two machines that answer each other's messages over a lossy link, and returns a trace of the
+// messages that arrived.
 func pingPong(seed uint64) []string {
 	s := New(seed)
 	s.Links.Default = Link{Delay: time.Millisecond, Jitter: 5 * time.Millisecond, Loss: 0.05}
@@ -60,7 +61,7 @@
 			So(order, ShouldResemble, []string{"message", "timer"})
 		})
 
-		Convey("what arrives at a paused machine waits in order", func() {
+		Convey("messages and timers of a paused machine wait in order", func() {
 			s.Pause("m")
 			s.AfterOn("m", time.Second, note("timer"))
 			s.Send("x", "m", nil, note("message"))
@@ -71,7 +72,7 @@
 			So(order, ShouldResemble, []string{"message", "timer"})
 		})
 
-		Convey("a partition holds in its direction only", func() {
+		Convey("a partition drops messages in its direction only", func() {
 			s.Links.Partition("a", "b")
 			So(s.Send("a", "b", nil, note("there")), ShouldBeFalse)
 			So(s.Send("b", "a", nil, note("back")), ShouldBeTrue)
