--- a/internal/tools/ablate/clone.go
+++ b/internal/tools/ablate/clone.go
@@ -10,18 +10,19 @@
 	"sprucelane.example/sprucelane/internal/tools/benchrun"
 )
 
-// runOne makes one run in a clone of its own.
+// runOne makes one run in a separate clone of the repository.
 func runOne(o options, r run) result {
 	result := result{run: r}
 	report, err := runInClone(o, r)
 	if report != nil {
-		result.score, result.broken = report.Score, len(report.RuleViolations) > 0
+		result.score, result.ruleViolated = report.Score, len(report.RuleViolations) > 0
 	}
 	result.err = err
 	return result
 }
 
-// runInClone makes a run in a temporary clone. The report may come together with an error of the journal's copy.
+// runInClone makes a run in a temporary clone. If the copy of the journal fails, it returns both the
+// report and the error.
 func runInClone(o options, r run) (*benchrun.Report, error) {
 	folder, err := os.MkdirTemp("", "ablate-")
 	if err != nil {
@@ -53,7 +54,7 @@
 // buildFlags are the flags in the deploy file's build line that switchOff replaces.
 const buildFlags = "-ldflags=-linkmode=external"
 
-// switchOff changes a deploy file to build with a mechanism off.
+// switchOff changes the build line of a deploy file so that the build has a mechanism switched off.
 func switchOff(deploy, off string) error {
 	text, err := os.ReadFile(deploy)
 	if err != nil {
--- a/internal/tools/ablate/main.go
+++ b/internal/tools/ablate/main.go
@@ -1,12 +1,13 @@
-// Command ablate measures what each mechanism contributes to the bench's score: it has the bench run days
-// with all mechanisms on, and with each one switched off alone, on the same seeds, and prints a table of the
+// Command ablate measures what each mechanism contributes to the bench's score: the bench runs days with
+// all mechanisms on, and with one mechanism at a time switched off, on the same seeds, and prints a table of the
 // differences.
 //
 //	go run ./internal/tools/ablate -bench PROGRAM -site FILE -days scale-1,quiet-1 -seeds 1,2 \
 //		[-off affinity,told-load] [-lanes 4]
 //
 // Each run is made in a clone of the last commit, whose deploy file is changed to build with the tag ablation
-// (see internal/ablation). What a run adds to the journal of its clone is copied into this repository's.
+// (see internal/ablation). Files that a run adds to the journal of its clone are copied into the journal of
+// this repository.
 package main
 
 import (
@@ -20,7 +21,7 @@
 	"sprucelane.example/sprucelane/internal/ablation"
 )
 
-// options are the command line's.
+// options holds the options of the command line.
 type options struct {
 	bench, site, why string
 	days, seeds      []string
@@ -28,15 +29,15 @@
 	parallel         int      // runs at the same time
 }
 
-// run is one day to be run with a mechanism off; with all on where off is empty.
+// run is one run of a day with a mechanism switched off, or with all mechanisms on if off is empty.
 type run struct{ off, day, seed string }
 
 // result is the result of a run.
 type result struct {
 	run
-	score  float64
-	broken bool // the bench found a rule violated
-	err    error
+	score        float64
+	ruleViolated bool // the bench found that a rule was violated
+	err          error
 }
 
 func main() {
@@ -79,7 +80,7 @@
 	return list
 }
 
-// unknownMechanisms returns those of the options that don't exist.
+// unknownMechanisms returns the names in the options that are not names of mechanisms.
 func (o *options) unknownMechanisms() []string {
 	known := mechanismNames()
 	var list []string
@@ -104,7 +105,7 @@
 	return list
 }
 
-// runAll makes all runs, some of them at the same time, and prints each result as it comes.
+// runAll makes all runs, up to o.parallel at the same time, and prints each result when its run ends.
 func runAll(o options) []result {
 	runs := o.runs()
 	results := make([]result, len(runs))
--- a/internal/tools/ablate/main_test.go
+++ b/internal/tools/ablate/main_test.go
@@ -21,7 +21,7 @@
 				run:   run{off: "affinity", day: "busy", seed: "1"},
 				score: 0.7,
 			},
-			{run: run{off: "affinity", day: "busy", seed: "2"}, score: 0.4, broken: true},
+			{run: run{off: "affinity", day: "busy", seed: "2"}, score: 0.4, ruleViolated: true},
 			{run: run{off: "affinity", day: "calm", seed: "1"}, err: errors.New("it doesn't build")},
 		}
 		So(table(o, results), ShouldEqual, "| switched off | busy | calm |\n|---|---|---|\n"+
@@ -39,7 +39,7 @@
 			"-X sprucelane.example/sprucelane/internal/ablation.off=silence' ./x\"\n")
 		So(switchOff(path, "silence"), ShouldNotBeNil)
 	})
-	Convey("A name that is no mechanism is reported", t, func() {
+	Convey("A name that is not the name of a mechanism is reported", t, func() {
 		o := &options{mechanisms: []string{"affinity", "afinity"}}
 		So(o.unknownMechanisms(), ShouldResemble, []string{"afinity"})
 	})
--- a/internal/tools/ablate/table.go
+++ b/internal/tools/ablate/table.go
@@ -6,9 +6,9 @@
 	"strings"
 )
 
-// table returns a Markdown table. Its first row has the scores with all mechanisms on; each further row tells
-// by how much the score changes without one mechanism. A cell is the mean over the seeds, and the largest
-// deviation of a seed from it.
+// table returns a Markdown table. Its first row has the scores with all mechanisms on; each further row has
+// the change of the scores with one mechanism switched off. A cell holds the mean over the seeds and the
+// largest deviation of a seed from it.
 func table(o options, results []result) string {
 	byRun := map[run]result{}
 	for _, r := range results {
@@ -30,7 +30,7 @@
 	return b.String()
 }
 
-// cell returns the cell of a mechanism and a day.
+// cell returns the text of the cell for a mechanism and a day.
 func cell(o options, byRun map[run]result, off, day string) string {
 	var values []float64
 	suffix := ""
@@ -39,7 +39,7 @@
 		if with.err != nil || without.err != nil {
 			return "not played"
 		}
-		if without.broken {
+		if without.ruleViolated {
 			suffix = ", broken"
 		}
 		if off == "" {
--- a/internal/tools/benchrun/benchrun.go
+++ b/internal/tools/benchrun/benchrun.go
@@ -13,13 +13,13 @@
 // Report holds the fields of the bench's report of a day that are used here.
 type Report struct {
 	Score          float64                    `json:"G"`      // the bench's score of the day
-	Served         float64                    `json:"served"` // the share of the requests
-	Fault          any                        `json:"fault"`  // nil: none
-	RuleViolations map[string]json.RawMessage `json:"breaks"` // how often, by rule
+	Served         float64                    `json:"served"` // the share of the requests that was served
+	Fault          any                        `json:"fault"`  // nil if there was none
+	RuleViolations map[string]json.RawMessage `json:"breaks"` // number of violations, by rule
 }
 
-// Run runs a day of a site in a folder (empty: the current one), with further arguments of the bench. Where
-// the bench leaves no report the error has the last line of its output.
+// Run runs a day of a site in a folder (empty: the current one), with further arguments of the bench. If
+// the bench writes no report, the error includes the last line of its output.
 func Run(program, folder, site, day string, arguments ...string) (*Report, error) {
 	scratch, err := os.MkdirTemp("", "benchrun-")
 	if err != nil {
--- a/internal/tools/playdays/main.go
+++ b/internal/tools/playdays/main.go
@@ -1,8 +1,8 @@
-// Command playdays has the bench run days that are files of this repository, and prints a line for each.
+// Command playdays runs the bench on days that are files of this repository, and prints a line for each.
 //
 //	go run ./internal/tools/playdays -bench PROGRAM -site FILE -why TEXT bench/days/*.toml
 //
-// The exit code is 1 where a day violated a rule, had a fault or could not be run.
+// The exit code is 1 if a day violated a rule, had a fault or could not be run.
 package main
 
 import (
@@ -17,7 +17,7 @@
 	"sprucelane.example/sprucelane/internal/tools/benchrun"
 )
 
-// options are the command line's.
+// options holds the options of the command line.
 type options struct {
 	bench, site, why string
 	jobs             int // processor cores that the bench may use
@@ -34,27 +34,28 @@
 		flag.Usage()
 		os.Exit(2)
 	}
-	broken := 0
+	failedDays := 0
 	for _, day := range flag.Args() {
 		report, err := runDay(o, day)
 		line, ok := summarize(day, report, err)
 		fmt.Println(line)
 		if !ok {
-			broken++
+			failedDays++
 		}
 	}
-	fmt.Printf("%d days, %d of them broke something\n", flag.NArg(), broken)
-	if broken > 0 {
+	fmt.Printf("%d days, %d of them broke something\n", flag.NArg(), failedDays)
+	if failedDays > 0 {
 		os.Exit(1)
 	}
 }
 
-// runDay has the bench run one day.
+// runDay runs the bench on one day.
 func runDay(o options, day string) (*benchrun.Report, error) {
 	return benchrun.Run(o.bench, "", o.site, day, "--jobs", strconv.Itoa(o.jobs), "--why", o.why)
 }
 
-// summarize returns a line about a day, and whether the day had no violation and no fault.
+// summarize returns the line to print for a day. ok reports whether the day was run without a violation or
+// fault.
 func summarize(day string, report *benchrun.Report, err error) (line string, ok bool) {
 	name := strings.TrimSuffix(filepath.Base(day), filepath.Ext(day))
 	if err != nil {
--- a/internal/tools/protogen/main.go
+++ b/internal/tools/protogen/main.go
@@ -1,5 +1,5 @@
-// Command protogen makes the Go code of api/ anew. It compiles the .proto files itself and hands them to the two
-// generators as protoc would, so that nothing but the Go tool chain is needed.
+// Command protogen regenerates the Go code of api/. It compiles the .proto files itself and passes them to the
+// two generators as protoc would, so that nothing but the Go tool chain is needed.
 package main
 
 import (
--- a/internal/tools/testrun/knownfailures.go
+++ b/internal/tools/testrun/knownfailures.go
@@ -13,7 +13,7 @@
 
 func (n testName) String() string { return n.Package + " " + n.Test }
 
-// knownFailure is a line of knownFailuresFile: a test that may fail, and why.
+// knownFailure is a line of knownFailuresFile: a test that may fail, the cause and the issue.
 type knownFailure struct {
 	testName
 	Cause, Issue string
@@ -46,7 +46,8 @@
 	return list, nil
 }
 
-// parseKnownFailure parses a line. All three columns must be there, and a subtest can't be named.
+// parseKnownFailure parses a line. It returns false if one of the three columns is missing or empty, or if the
+// line names a subtest.
 func parseKnownFailure(line string) (knownFailure, bool) {
 	columns := strings.Split(line, "|")
 	if len(columns) != 3 {
--- a/internal/tools/testrun/knownfailures_test.go
+++ b/internal/tools/testrun/knownfailures_test.go
@@ -8,7 +8,7 @@
 )
 
 func TestKnownList(t *testing.T) {
-	Convey("A line without cause or issue is named", t, func() {
+	Convey("The error for a malformed line has its number", t, func() {
 		for _, line := range []string{
 			"b TestRed",
 			"b TestRed | cause",
--- a/internal/tools/testrun/main.go
+++ b/internal/tools/testrun/main.go
@@ -5,12 +5,12 @@
 //	go run ./internal/tools/testrun -alone ./internal/lab/... ./... -race -timeout 10m
 //
 // The packages of PATTERN are tested in parallel, except for those that match an -alone PATTERN: these start
-// processes and have bounds in real time, so they follow one at a time. Everything after PATTERN is passed to
-// go test.
+// processes and have time limits in real time, so they are tested afterwards, one at a time. Everything after
+// PATTERN is passed to go test.
 //
-// KNOWN-RED.txt in the current folder, which may be missing or empty, lists tests that may fail, one a line:
-// "package TestName | cause | issue". A listed test that fails is printed, and one that passes is printed
-// too, as its line can go.
+// KNOWN-RED.txt in the current folder, which may be missing or empty, lists tests that may fail, one per line:
+// "package TestName | cause | issue". Listed tests that fail are printed. Listed tests that pass are
+// printed too, because their lines can be removed.
 //
 // Exit code 0: every package passed, or only listed tests failed. Exit code 1: anything else failed, a
 // package didn't build or run to its end, or the list names a test that didn't run.
@@ -41,7 +41,7 @@
 
 var errUsage = errors.New("usage: testrun [-alone PATTERN]... PATTERN [flags of go test]")
 
-// run tests all packages and returns an error where the result isn't acceptable.
+// run tests all packages. It returns an error if anything but listed tests failed, or a listed test didn't run.
 func run(known []knownFailure, arguments []string) error {
 	var alonePatterns []string
 	for len(arguments) >= 2 && arguments[0] == "-alone" {
@@ -81,7 +81,7 @@
 	return parallel, alone, nil
 }
 
-// listPackages returns the import paths that match patterns. It is an error if none does.
+// listPackages returns the import paths that match patterns. It returns an error if no package matches.
 func listPackages(patterns ...string) ([]string, error) {
 	command := exec.Command("go", append([]string{"list"}, patterns...)...)
 	command.Stderr = os.Stderr
@@ -96,8 +96,8 @@
 	return paths, nil
 }
 
-// test runs go test once and records its results. The error is of the run itself; that tests failed is in the
-// results.
+// test runs go test once and records its results. It returns an error if go test can't be started
+// or its events can't be read; failed tests are recorded in the results only.
 func (r *results) test(arguments []string) error {
 	command := exec.Command("go", append([]string{"test", "-json"}, arguments...)...)
 	command.Stderr = os.Stderr
--- a/internal/tools/testrun/results.go
+++ b/internal/tools/testrun/results.go
@@ -13,12 +13,12 @@
 type event struct {
 	Action     string
 	Package    string
-	ImportPath string // of build events
+	ImportPath string // set in build events
 	Test       string
 	Output     string
 }
 
-// The actions that are told apart here.
+// The actions of events that are handled here.
 const (
 	actionOutput      = "output"
 	actionBuildOutput = "build-output"
@@ -27,16 +27,16 @@
 	actionSkip        = "skip"
 )
 
-// isTerminal returns whether an action ends a test.
+// isTerminal reports whether an action ends a test.
 func isTerminal(action string) bool {
 	return action == actionPass || action == actionFail || action == actionSkip
 }
 
-// results are the results of all packages, of one or more runs of go test.
+// results holds the results of all packages, from one or more runs of go test.
 type results struct {
 	outcomes   map[testName]string // the terminal action of each test
 	packages   map[string]*packageResult
-	failedRuns int // of go test
+	failedRuns int // runs of go test that exited with an error
 }
 
 func newResults() *results {
@@ -46,15 +46,15 @@
 // packageResult is the result of one package.
 type packageResult struct {
 	failed bool
-	// ranToEnd: the test program ended by itself and reported the failures, so that no test was left out.
+	// ranToEnd is set if the test program ended by itself and reported the failures, so that all tests ran.
 	ranToEnd    bool
 	failedTests []testName
-	lastLine    string // of its output that belongs to no test
+	lastLine    string // the last line of output that belongs to no test
 }
 
 // A test program prints failSummary last, after it ran all its tests and some failed; go test adds a line
-// that begins with failedPackagePrefix. A panic, a timeout, a signal or an exit within a test end the program
-// with other words, and may leave tests out.
+// that begins with failedPackagePrefix. After a panic, a timeout, a signal or an exit within a test the last
+// line is another one, and tests may not have run.
 const (
 	failSummary         = "FAIL\n"
 	passSummary         = "PASS\n"
@@ -71,7 +71,7 @@
 	p[name].WriteString(text)
 }
 
-// take returns the output of a test, and forgets it.
+// take returns the output of a test, and removes it.
 func (p pendingOutput) take(name testName) string {
 	text := p[name]
 	delete(p, name)
@@ -82,7 +82,7 @@
 }
 
 // read records the events of one run, and prints what go test without -json would: a line for each package,
-// and the output of tests that failed, or never ended.
+// and the output of tests that failed or didn't end.
 func (r *results) read(from io.Reader, out io.Writer) error {
 	pending := pendingOutput{}
 	decoder := json.NewDecoder(bufio.NewReader(from))
--- a/internal/tools/testrun/results_test.go
+++ b/internal/tools/testrun/results_test.go
@@ -92,13 +92,13 @@
 		_, err := judged(passing, "a TestGone | was late | 12", false)
 		So(err, ShouldNotBeNil)
 	})
-	Convey("Nothing tested, or go test failed for a reason of its own, fails the run", t, func() {
+	Convey("A run without packages fails, and so does a failure of go test without a failed package", t, func() {
 		_, err := judged("", "", false)
 		So(err, ShouldNotBeNil)
 		_, err = judged(passing, "", true)
 		So(err, ShouldNotBeNil)
 	})
-	Convey("Output that isn't events is an error", t, func() {
+	Convey("Output that isn't in the format of events is an error", t, func() {
 		_, err := judged("flag provided but not defined", "", true)
 		So(err, ShouldNotBeNil)
 	})
--- a/internal/tools/testrun/verdict.go
+++ b/internal/tools/testrun/verdict.go
@@ -6,8 +6,8 @@
 	"io"
 )
 
-// judge returns an error for everything that isn't acceptable in the results, and prints what became of the
-// known failures.
+// judge returns an error for each unlisted failure and each listed test that didn't run, and if no package was
+// tested or go test failed without a failed package. It prints the listed tests that failed or passed.
 func (r *results) judge(known []knownFailure, out io.Writer) error {
 	listed := map[testName]bool{}
 	var problems []error
@@ -38,8 +38,8 @@
 	return errors.Join(problems...)
 }
 
-// problems returns what isn't acceptable in a failed package: tests that aren't listed, and tests that were
-// left out.
+// problems returns an error for each failed test of a failed package that isn't listed, and an error if the
+// package didn't build or didn't run to its end, so that tests were left out.
 func (p *packageResult) problems(path string, listed map[testName]bool) []error {
 	var problems []error
 	for _, name := range p.failedTests {
