--- a/cmd/sprucelane/counters.go
+++ b/cmd/sprucelane/counters.go
@@ -12,20 +12,20 @@
 	"sprucelane.example/sprucelane/internal/daemon/store/balances"
 )
 
-// addCounters adds functions that return the counters of a part. Each has a log line of its own, whose attribute
-// "part" says whose counters they are. The names of counters are read by operators' tools.
+// addCounters adds functions that each return the counters of one component. The counters of a component are logged on
+// a separate line, whose attribute "part" names the component. Operators' tools read the names of counters.
 func (g *gateway) addCounters(counters ...func() core.Counts) {
 	g.counters = append(g.counters, counters...)
 }
 
-// logCounters logs a line with the counters of each part.
+// logCounters logs one line for each component, with its counters.
 func (g *gateway) logCounters(event string) {
 	for _, counts := range g.counters {
 		slog.LogAttrs(context.Background(), slog.LevelInfo, event, counts()...)
 	}
 }
 
-// partCounts returns the counters of a front and of the core that it feeds.
+// partCounts returns the counters of a front and of the core that it passes its requests to.
 func partCounts(name string, malformed uint64, counts core.Counts) core.Counts {
 	return append(core.Counts{slog.String("part", name), slog.Uint64("malformed", malformed)}, counts...)
 }
--- a/cmd/sprucelane/exchange.go
+++ b/cmd/sprucelane/exchange.go
@@ -14,8 +14,8 @@
 	"sprucelane.example/sprucelane/internal/storm"
 )
 
-// startPeerExchange starts all exchanges that use the peers' datagrams. The first byte of a datagram says whose it
-// is: the storm control's, the load exchange's, the datagram exchange's or, otherwise, the policy's.
+// startPeerExchange starts all exchanges that use datagrams between peers. The first byte of a datagram selects its
+// receiver: the storm control, the load exchange, the datagram exchange or, for any other value, the policy.
 func (g *gateway) startPeerExchange(ctx context.Context, learnByDatagram bool) {
 	receive := g.core.PeerMessage
 	if d := g.start.Deployment; learnByDatagram && d.Peers && d.Gateways > 1 {
@@ -34,8 +34,8 @@
 	})
 }
 
-// startDatagramExchange lets a gateway that has just started ask its peers what they know of the servers. It returns
-// what takes in the exchange's and the policy's datagrams.
+// startDatagramExchange starts the exchange by which a gateway that has just started asks its peers for their
+// knowledge of the servers. It returns the function that receives the datagrams of the exchange and of the policy.
 func (g *gateway) startDatagramExchange(ctx context.Context) func(from int, message []byte) {
 	d := g.start.Deployment
 	exchange := datagram.New(&helper.Gateway{Core: g.core, Membership: g.membership}, g.peerLink.Send, g.clock.Now, d.Self,
@@ -51,23 +51,24 @@
 	}
 }
 
-// startLoadExchange lets gateways of a large fleet tell neighbours how many requests they have in flight at the
-// servers that they share. It returns what takes in the exchange's datagrams. In a small fleet it does nothing.
+// startLoadExchange starts the exchange by which gateways of a large fleet send their neighbors the number of requests
+// that they have in flight at shared servers. It returns the function that receives the exchange's datagrams. In a
+// small fleet, or in a deployment without peers, it starts nothing, and the returned function ignores datagrams.
 func (g *gateway) startLoadExchange(ctx context.Context) func(from int, message []byte) {
 	d := g.start.Deployment
-	board := inflight.New(d.Self, d.Gateways, d.PeerMessageRate)
-	if board == nil || !d.Peers {
+	tracker := inflight.New(d.Self, d.Gateways, d.PeerMessageRate)
+	if tracker == nil || !d.Peers {
 		return func(int, []byte) {}
 	}
-	g.loadExchange = inflight.NewExchange(board, g.core, g.membership, g.peerLink.Send)
+	g.loadExchange = inflight.NewExchange(tracker, g.core, g.membership, g.peerLink.Send)
 	g.loadExchange.Resume(g.loadExchangeSeq)
 	g.addCounters(func() core.Counts { return loadExchangeCounts(g.loadExchange) })
 	go g.loadExchange.Run(ctx)
 	return g.loadExchange.Receive
 }
 
-// startKnowledgeExchange starts the program that exchanges knowledge of the servers with peers, where the site file
-// has it. The gateway is ready once it has received its peers' knowledge, or has waited for knowledge.wait_ms.
+// startKnowledgeExchange starts the program that exchanges knowledge of the servers with peers, if the site file
+// configures it. The gateway is ready once it has received its peers' knowledge, or has waited for knowledge.wait_ms.
 func (g *gateway) startKnowledgeExchange(linkProgram string) {
 	conf := g.start.Site.Knowledge
 	if conf == nil {
--- a/cmd/sprucelane/gateway.go
+++ b/cmd/sprucelane/gateway.go
@@ -27,14 +27,14 @@
 	"sprucelane.example/sprucelane/internal/storm"
 )
 
-// gateway holds the parts of one process of a gateway. What stands before mu is set while the process starts and is
-// not changed later, but for stopDiscovery, which only the goroutine of serve uses.
+// gateway holds the components of one process of a gateway. The fields before mu are set while the process starts and
+// not changed later, except stopDiscovery, which only the goroutine of serve uses.
 type gateway struct {
 	start          *config.Config // the configuration that the process was started with
 	clock          core.Clock
 	phase          *service.State
-	requestMemory  *buffers.Budget // for bodies of requests
-	responseMemory *buffers.Budget // for bodies of responses
+	requestMemory  *buffers.Budget // for request bodies
+	responseMemory *buffers.Budget // for response bodies
 	pool           *pool.Pool
 	core           *core.Core
 	membership     *discovery.Membership
@@ -44,27 +44,27 @@
 	peerLink       *peer.Link          // nil: there are no peers
 	checker        *introspect.Checker // nil: token introspection is off
 	loadExchange   *inflight.Exchange  // nil: off
-	stopDiscovery  func()              // ends the watch of the source of server lists, and waits for its end
+	stopDiscovery  func()              // stops watching the source of server lists, and waits until the watch has ended
 
 	handoverPath    string                // socket path at which a successor finds this process; empty: no upgrades
-	asPredecessor   *handover.Predecessor // nil: no successor can follow
-	loadExchangeSeq uint16                // of the predecessor's last message of the load exchange
-	checkerState    []byte                // the predecessor's, for checker; nil: none
+	asPredecessor   *handover.Predecessor // nil: no successor can take over
+	loadExchangeSeq uint16                // sequence number of the predecessor's last load exchange message
+	checkerState    []byte                // checker state that the predecessor handed over; nil: none
 
-	counters []func() core.Counts // of each part, in the order in which they are logged
-	closers  []func()             // called at the end, in this order
-	failed   chan error           // of a listener; has room for one error of each
+	counters []func() core.Counts // one for each component, in the order in which they are logged
+	closers  []func()             // called by close, in this order
+	failed   chan error           // errors of listeners; buffered for one error of each
 
-	mu                sync.Mutex      // guards what follows
-	cfg               *config.Config  // in force
+	mu                sync.Mutex      // guards the fields below
+	cfg               *config.Config  // the configuration in force
 	otherUsage        *handover.Usage // what another process of this gateway uses; nil: there is none
 	maxDeadlineBefore time.Duration   // longest deadline in configurations that were in force before cfg
 }
 
-// listeners is the number of listeners that may fail: two fronts and the operators' address.
+// listeners is the number of listeners that may fail: two fronts and the control address.
 const listeners = 3
 
-// newGateway returns a gateway that has a pool without servers and no open socket.
+// newGateway returns a gateway with an empty pool and no open socket.
 func newGateway(cfg *config.Config, clock core.Clock) *gateway {
 	g := &gateway{
 		start:          cfg,
@@ -85,7 +85,7 @@
 	return g
 }
 
-// close closes the fronts and then the other parts that have been opened.
+// close closes the fronts and then the other components that have been opened.
 func (g *gateway) close() {
 	for _, s := range g.fronts {
 		s.Close()
@@ -95,7 +95,7 @@
 	}
 }
 
-// openCore makes the core and what passes server lists and settings to it.
+// openCore creates the core, and the membership and settings that pass server lists and settings to it.
 func (g *gateway) openCore() error {
 	var sendToPeer func(int, []byte) // nil: there are no peers
 	if g.peerLink != nil {
@@ -115,12 +115,12 @@
 	return nil
 }
 
-// ready tells whether clients should come: whether the process may serve and has a server to forward to.
+// ready reports whether clients should send requests: whether the process may serve and has a server to forward to.
 func (g *gateway) ready() bool { return g.phase.Ready() && g.hasServers() }
 
 func (g *gateway) hasServers() bool { return g.pool.ReadyServers() > 0 }
 
-// openControl opens the address at which operators call.
+// openControl opens the control address, which operators call.
 func (g *gateway) openControl() error {
 	server, err := control.Listen(g.start.Control, config.MaxControlConns, g.phase, g.hasServers)
 	if err != nil {
@@ -136,14 +136,14 @@
 	return nil
 }
 
-// serveUntilFailure runs a listener's Serve, whose error ends the process.
+// serveUntilFailure runs a listener's Serve method and passes its error to g.failed, which ends the process.
 func (g *gateway) serveUntilFailure(serve func() error) {
 	if err := serve(); err != nil {
 		g.failed <- err
 	}
 }
 
-// openFronts opens the front for the platform's protocol and, where the site file has it, the one with token
+// openFronts opens the front for the platform's protocol and, if the site file configures it, the one with token
 // introspection.
 func (g *gateway) openFronts(asSuccessor *handover.Successor) error {
 	opt := front.Options{
@@ -175,7 +175,8 @@
 	return nil
 }
 
-// openFront listens, or goes on with a predecessor's listener: paused until the predecessor has stopped (takeOver).
+// openFront opens a listener, or uses the predecessor's. A front on the predecessor's listener is paused until the
+// predecessor has stopped (takeOver).
 func (g *gateway) openFront(opt front.Options, handler http.Handler) error {
 	listen := func() (*front.Server, error) { return front.Listen(opt, handler) }
 	server, err := listen()
@@ -193,8 +194,8 @@
 	return nil
 }
 
-// openIntrospection opens the front with token introspection. Its checks of tokens have a core and a pool of their
-// own, with the endpoints as servers.
+// openIntrospection opens the front with token introspection. Its token checks use a separate core and pool, whose
+// servers are the introspection endpoints.
 func (g *gateway) openIntrospection(opt front.Options) error {
 	conf := *g.start.Site.Introspection
 	var link *peer.Link
@@ -232,12 +233,13 @@
 	return g.openFront(opt, handler)
 }
 
-// checkerSeed is the seed of the checks' core, which must draw other random numbers than the gateway's.
+// checkerSeed returns the seed for the core of the token checks, which must draw other random numbers than the
+// gateway's core.
 func checkerSeed(cfg *config.Config) uint64 { return ^cfg.Seed }
 
-// openStore restores the quota balances that an earlier process of this gateway has stored, where the site file has a
-// store, and goes on storing them. The function that it returns ends that. A predecessor that still runs has the
-// folder open; then its state, which was handed over, is known already.
+// openStore restores the quota balances that an earlier process of this gateway has stored, if the site file configures
+// a store, and then keeps storing them until closeStore is called. A predecessor that still runs has the folder open;
+// in that case its state has been handed over already.
 func (g *gateway) openStore() (closeStore func(), err error) {
 	conf := g.start.Site.Store
 	if conf == nil {
--- a/cmd/sprucelane/main.go
+++ b/cmd/sprucelane/main.go
@@ -15,14 +15,14 @@
 	"sprucelane.example/sprucelane/internal/daemon/logging"
 )
 
-// envPrefix begins the environment variables that set flags; see cli.EnvFlags.
+// envPrefix is the prefix of the environment variables that set flags; see cli.EnvFlags.
 const envPrefix = "SPRUCELANE"
 
 func main() {
 	os.Exit(cli.Main(newRootCommand(os.Getenv), func(err error) { slog.Error("failed", "err", err) }))
 }
 
-// newRootCommand returns the command line. Without a command the program serves.
+// newRootCommand returns the program's root command, which serves if no other command is given.
 func newRootCommand(getenv func(string) string) *cobra.Command {
 	var opt options
 	var format, level string
@@ -69,7 +69,7 @@
 	return root
 }
 
-// checkCommand prints each error of the configuration on a line of its own.
+// checkCommand returns the command that prints each error of the configuration on a separate line.
 func checkCommand(getenv func(string) string, siteFile *string) *cobra.Command {
 	return &cobra.Command{
 		Use:   "check",
@@ -100,8 +100,8 @@
 		}}
 }
 
-// knowledgeCommand runs the link program, which speaks the protocol of the exchange and prints the answer. It exits
-// with that program's exit code.
+// knowledgeCommand returns the command that runs the link program, which implements the protocol of the knowledge
+// exchange and prints the answer. The command exits with that program's exit code.
 func knowledgeCommand(program *string) *cobra.Command {
 	return &cobra.Command{
 		Use:   "knowledge --peer ADDR",
--- a/cmd/sprucelane/main_test.go
+++ b/cmd/sprucelane/main_test.go
@@ -20,16 +20,16 @@
 	"sprucelane.example/sprucelane/internal/fake"
 )
 
-// The whole program: it starts with its cached server list, serves both fronts, and on SIGTERM answers what it has
-// accepted and exits without an error. On SIGHUP it reloads its configuration. Counters are logged on SIGUSR1 and at
-// the exit.
-func TestWholeLife(t *testing.T) {
+// The whole program starts with its cached server list, serves both fronts, and on SIGTERM answers the requests that it
+// has accepted and exits without an error. On SIGHUP it reloads its configuration. Counters are logged on SIGUSR1 and
+// at exit.
+func TestServeLifecycle(t *testing.T) {
 	lines := fake.Log(t)
 	member := fake.New(t, fake.OK("sent"))
 	endpoint := fake.New(t, fake.OK(`{"active":true}`))
 	agent := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { <-r.Context().Done() }))
 	defer agent.Close()
-	host := fmt.Sprintf("127.91.%d.%d", os.Getpid()>>8&127, os.Getpid()&127+1) // an address of this process's own
+	host := fmt.Sprintf("127.91.%d.%d", os.Getpid()>>8&127, os.Getpid()&127+1) // an address that only this process uses
 	dir := t.TempDir()
 	path, site := filepath.Join(dir, "config.json"), filepath.Join(dir, "site.json")
 	old := strings.TrimPrefix(agent.URL, "http://")
@@ -68,15 +68,15 @@
 		time.Minute, time.Millisecond)
 	// A malformed file changes nothing; a good one moves discovery, though the environment still names the old agent.
 	next := fake.New(t, fake.OK("moved"))
-	mover := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	newAgent := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.RawQuery != "" {
 			<-r.Context().Done()
 		}
 		fmt.Fprint(w, `{"generation":9,"reset":true,"instances":[{"instanceId":"b","hostPort":"`+next.Addr+`","lifecycle":"up"}]}`)
 	}))
-	defer mover.Close()
+	defer newAgent.Close()
 	for _, reload := range [][2]string{{"{", "event=reload_failed"},
-		{strings.Replace(text, old, strings.TrimPrefix(mover.URL, "http://"), 1), "event=reloaded"}} {
+		{strings.Replace(text, old, strings.TrimPrefix(newAgent.URL, "http://"), 1), "event=reloaded"}} {
 		require.NoError(t, os.WriteFile(path, []byte(reload[0]), 0o600))
 		require.NoError(t, syscall.Kill(os.Getpid(), syscall.SIGHUP))
 		require.Eventually(t, func() bool { return strings.Contains(lines.String(), reload[1]) }, time.Minute, time.Millisecond)
@@ -85,11 +85,11 @@
 		_, body := fake.Ask(t, "http://"+host+":8080", "work-order", "utility", 20000)
 		return body == "moved"
 	}, time.Minute, 5*time.Millisecond)
-	// New settings, here another class, apply to requests from then on. A malformed file changes nothing.
-	moved := strings.Replace(text, old, strings.TrimPrefix(mover.URL, "http://"), 1)
-	more := strings.Replace(moved, `"services":[`, `"services":[{"name":"health-read","objective":1200000000,"give_up":20000000000,"effect":"free","worth":1},`, 1)
-	for _, reload := range [][2]string{{more, "era=1 classes=2"}, {strings.Replace(moved, `"max_attempts":4`, `"max_attempts":0`, 1), "allowed.max_attempts"},
-		{strings.Replace(moved, `"worth":3`, `"worthy":3`, 1), "settings.services[].worth: missing"}} {
+	// New settings, here another class, apply to requests that arrive after the reload. A malformed file changes nothing.
+	newAgentText := strings.Replace(text, old, strings.TrimPrefix(newAgent.URL, "http://"), 1)
+	twoClassesText := strings.Replace(newAgentText, `"services":[`, `"services":[{"name":"health-read","objective":1200000000,"give_up":20000000000,"effect":"free","worth":1},`, 1)
+	for _, reload := range [][2]string{{twoClassesText, "era=1 classes=2"}, {strings.Replace(newAgentText, `"max_attempts":4`, `"max_attempts":0`, 1), "allowed.max_attempts"},
+		{strings.Replace(newAgentText, `"worth":3`, `"worthy":3`, 1), "settings.services[].worth: missing"}} {
 		require.NoError(t, os.WriteFile(path, []byte(reload[0]), 0o600))
 		require.NoError(t, syscall.Kill(os.Getpid(), syscall.SIGHUP))
 		require.Eventually(t, func() bool { return strings.Contains(lines.String(), reload[1]) }, time.Minute, time.Millisecond)
@@ -99,13 +99,14 @@
 			assert.Equal(t, "moved", body)
 		}
 	}
-	said, err := http.Get("http://" + host + ":9090/ready")
+	readyResp, err := http.Get("http://" + host + ":9090/ready")
 	require.NoError(t, err)
-	text2, err := io.ReadAll(said.Body)
-	said.Body.Close()
+	readyText, err := io.ReadAll(readyResp.Body)
+	readyResp.Body.Close()
 	require.NoError(t, err)
-	assert.Equal(t, "serving recovery=full\n", string(text2))
-	// While drained it closes connections after each response, and still answers; undrained it keeps them again.
+	assert.Equal(t, "serving recovery=full\n", string(readyText))
+	// While drained, the gateway still answers, but closes each connection after the response. After undrain it keeps
+	// connections open again.
 	for _, step := range []struct {
 		call  string
 		ready int
@@ -130,7 +131,7 @@
 	assert.NotContains(t, lines.String(), "tok-1")
 }
 
-// execute runs one command of the program in an environment, and returns its exit code and output.
+// execute runs one command of the program with the environment env, and returns its exit code and output.
 func execute(env map[string]string, args ...string) (int, string) {
 	var out strings.Builder
 	root := newRootCommand(func(k string) string { return env[k] })
@@ -141,7 +142,7 @@
 
 // Unusable flags, environment or configuration end the program with code 2 and an error that names the flag, the
 // variable or the key; check names every error.
-func TestCommandsNameWhatIsWrong(t *testing.T) {
+func TestErrorsNameTheInvalidInput(t *testing.T) {
 	t.Cleanup(func() { logging.Set(os.Stderr, "text", "info") })
 	dir := t.TempDir()
 	path, site := filepath.Join(dir, "config.json"), filepath.Join(dir, "site.json")
--- a/cmd/sprucelane/predecessor.go
+++ b/cmd/sprucelane/predecessor.go
@@ -14,17 +14,17 @@
 )
 
 const (
-	// updateInterval is the time between a predecessor's updates: about how long the successor's limits and quotas
-	// may lag behind what the predecessor does.
+	// updateInterval is the time between a predecessor's updates, and so about how long the successor's limits and
+	// quotas may lag behind the predecessor's usage.
 	updateInterval = 25 * time.Millisecond
-	// maxQueuedSends bounds the requests that are reported in one update, which has to fit in a frame. Those beyond it
-	// are not reported.
+	// maxQueuedSends bounds the requests that are reported in one update, which has to fit in a frame. Requests
+	// beyond it are not reported.
 	maxQueuedSends = 4096
-	// stateMemoryDivisor of the memory limit is the most that an exported state may take.
+	// stateMemoryDivisor is the divisor of the memory limit that gives the maximum size of an exported state.
 	stateMemoryDivisor = 64
 )
 
-// listenForSuccessor lets a successor find this process.
+// listenForSuccessor opens the socket at which a successor connects to this process.
 func (g *gateway) listenForSuccessor() {
 	if g.handoverPath == "" {
 		return
@@ -38,17 +38,17 @@
 	g.closers = append(g.closers, asPredecessor.Close)
 }
 
-// handoverProcess is this process as a predecessor: the [handover.Process] that a successor follows.
+// handoverProcess implements [handover.Process] for this process as a predecessor.
 type handoverProcess struct {
 	*gateway
-	stopUpdates chan struct{} // closed to end sendUpdates; nil: it doesn't run; guarded by gateway.mu
+	stopUpdates chan struct{} // closed to stop sendUpdates; nil: not running; guarded by gateway.mu
 
-	sentMu sync.Mutex  // taken while the core's mutex is held, never the other way round
-	sent   []core.Sent // for the next update; at most maxQueuedSends
+	sentMu sync.Mutex  // locked while the core's mutex is held, never the other way round
+	sent   []core.Sent // queue for the next update; at most maxQueuedSends
 }
 
 // usage returns what this process uses of the limits. A client connection may bring another request, so each counts
-// as a connection to a server, too; but the successor is left half of those.
+// as a connection to a server, too, but for no more than half of the limit, which leaves the successor the other half.
 func (p *handoverProcess) usage() handover.Usage {
 	p.mu.Lock()
 	maxReserved := p.cfg.ServerConns / 2
@@ -88,7 +88,7 @@
 	p.mu.Unlock()
 	var state handoverState
 	state.Module = p.core.ExportState(maxBytes, p.queueSent)
-	// Server IDs are never used again, so the list may be newer than the core's state, but must not be older.
+	// Server IDs are never reused, so the list may be newer than the core's state, but must not be older.
 	state.List = p.membership.ExportState()
 	if p.checker != nil {
 		state.Checks = p.checker.ExportState(maxBytes)
@@ -100,7 +100,8 @@
 	return encoded
 }
 
-// queueSent queues a request that this process has sent to a server for the next update. The core's mutex is held.
+// queueSent queues a request that this process has sent to a server for the next update. The caller holds the core's
+// mutex.
 func (p *handoverProcess) queueSent(s core.Sent) {
 	p.sentMu.Lock()
 	defer p.sentMu.Unlock()
@@ -109,7 +110,7 @@
 	}
 }
 
-// nextUpdate returns an update, and empties the queue of sent requests.
+// nextUpdate returns the next update, encoded, and empties the queue of sent requests.
 func (p *handoverProcess) nextUpdate() []byte {
 	p.sentMu.Lock()
 	sent := p.sent
@@ -119,8 +120,8 @@
 	return encoded
 }
 
-// HandedOver implements [handover.Process]: this process accepts nothing more, so its usage only falls. All that it
-// doesn't use is the successor's from now on.
+// HandedOver implements [handover.Process]. This process accepts no new connections or datagrams, so its usage
+// only falls. From now on the successor may use the rest of the limits.
 func (p *handoverProcess) HandedOver() {
 	p.phase.HandOver(time.Now())
 	usage := p.usage()
@@ -135,7 +136,7 @@
 
 // sendUpdates sends an update every updateInterval until stop is closed.
 func (p *handoverProcess) sendUpdates(stop chan struct{}) {
-	debug.FreeOSMemory() // both processes share one memory limit, and this one needs little from now on
+	debug.FreeOSMemory() // both processes share one memory limit, and this one needs little memory from now on
 	ticker := time.NewTicker(updateInterval)
 	defer ticker.Stop()
 	for {
@@ -148,7 +149,7 @@
 	}
 }
 
-// Resume implements [handover.Process]: this process serves again, with all of the limits.
+// Resume implements [handover.Process]: this process serves again, with the full limits.
 func (p *handoverProcess) Resume() {
 	p.mu.Lock()
 	if p.stopUpdates != nil {
--- a/cmd/sprucelane/reload.go
+++ b/cmd/sprucelane/reload.go
@@ -13,13 +13,13 @@
 	"sprucelane.example/sprucelane/internal/daemon/handover"
 )
 
-// heapShare is the share of the memory limit that Go's runtime keeps to. The rest is for what the runtime doesn't
-// count, such as the program's code and the kernel's buffers.
+// heapShare is the fraction of the memory limit that is set as the Go runtime's limit. The rest is for memory that the
+// runtime doesn't count, such as the program's code and the kernel's buffers.
 const heapShare = 0.75
 
-// reload reads the configuration again and puts it in force: the settings for requests that arrive from now on,
-// discovery, and the limits. All of it is checked first; a configuration with an error changes nothing. What only a
-// restart can change is named in the log line.
+// reload reads the configuration again and applies it: the settings to requests that arrive from now on, discovery,
+// and the limits. All of it is checked first; a configuration with an error changes nothing. The log line names the
+// changed keys that take effect only after a restart.
 func (g *gateway) reload(ctx context.Context, getenv func(string) string, siteFile string) error {
 	g.mu.Lock()
 	before := g.cfg
@@ -54,9 +54,9 @@
 	return nil
 }
 
-// startDiscovery watches the source of server lists, after it has ended the watch of an earlier source: the
-// membership takes one at a time. Where wholeList is set, the source is first asked for its whole list, as changes
-// that an earlier source held back would be missed otherwise.
+// startDiscovery stops watching the earlier source of server lists, if any, and watches the configured one: the
+// membership accepts one source at a time. If wholeList is set, the source is first asked for its whole list, because
+// changes that an earlier source held back would be missed otherwise.
 func (g *gateway) startDiscovery(ctx context.Context, wholeList bool) {
 	if g.stopDiscovery != nil {
 		g.stopDiscovery()
@@ -85,7 +85,8 @@
 	return max(g.maxDeadlineBefore, g.cfg.Deployment.MaxDeadline())
 }
 
-// setOtherUsage records what another process of this gateway uses of the limits; nil: there is none.
+// setOtherUsage records what another process of this gateway uses of the limits, and applies them anew. A nil usage
+// means that there is no other process.
 func (g *gateway) setOtherUsage(usage *handover.Usage) {
 	g.mu.Lock()
 	g.otherUsage = usage
@@ -93,8 +94,9 @@
 	g.applyLimits()
 }
 
-// applyLimits keeps this process within the limits in force, less what another process of this gateway uses.
-// Connections are counted; memory and the checks' connections are halved, as they are not reported.
+// applyLimits sets the limits of this process to those in force, less what another process of this gateway uses.
+// Connections are subtracted by their reported number; memory and the connections of the token checks are halved,
+// because their usage is not reported.
 func (g *gateway) applyLimits() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -114,8 +116,8 @@
 	}
 }
 
-// setRuntimeLimits keeps Go's runtime within the gateway's limits, of which each of its processes has an equal share
-// of the memory.
+// setRuntimeLimits sets the limits of the Go runtime: the gateway's number of cores, and an equal share of its memory
+// for each of its processes.
 func setRuntimeLimits(cfg *config.Config, processes int) {
 	runtime.GOMAXPROCS(cfg.Cores)
 	debug.SetMemoryLimit(int64(heapShare*float64(cfg.MemoryBytes)) / int64(processes))
--- a/cmd/sprucelane/serve.go
+++ b/cmd/sprucelane/serve.go
@@ -18,22 +18,23 @@
 )
 
 // gcPercent is Go's GOGC. The live heap is a few MB, so collecting less often than at the default of 100 saves CPU
-// time for little memory; the memory limit holds all the same (setRuntimeLimits).
+// time and costs little memory; the memory limit still applies (setRuntimeLimits).
 const gcPercent = 400
 
-// labVariable names the environment variable without which options for tests in the laboratory are rejected.
+// labVariable is the environment variable that must be set for options that only laboratory tests use; without it
+// they are rejected.
 const labVariable = "SPRUCELANE_LABORATORY"
 
-// options are the flags of the command line that a gateway depends on.
+// options holds the command-line flags that a gateway uses.
 type options struct {
 	siteFile        string        // path of the site file; see config.Site
 	linkProgram     string        // path of the program that exchanges knowledge with other gateways
 	learnByDatagram bool          // whether a gateway that starts asks its peers for knowledge by datagram
-	clockAhead      time.Duration // how far this process's clock is ahead of the others'; in the laboratory only
+	clockAhead      time.Duration // how far this process's clock is ahead of the other gateways'; laboratory only
 }
 
-// signalChannels are the channels of the signals that a gateway handles. Shutdown has a channel of its own, as a
-// signal that finds its channel full is dropped.
+// signalChannels holds the channels of the signals that a gateway handles. Shutdown has a separate channel, because a
+// signal is dropped if its channel is full.
 type signalChannels struct {
 	operator chan os.Signal // SIGUSR1, SIGHUP
 	shutdown chan os.Signal // SIGTERM, SIGINT
@@ -51,12 +52,12 @@
 	signal.Stop(s.shutdown)
 }
 
-// serve runs a gateway until a graceful shutdown has ended, or until it fails. An error that the command line or the
-// configuration is the cause of is a [cli.ExitError] with code [cli.ExitUsage].
+// serve runs a gateway until a graceful shutdown has ended, or until it fails. An error caused by the command line or
+// the configuration is a [cli.ExitError] with code [cli.ExitUsage].
 //
-// The order of the steps matters: sockets are open before the predecessor is asked to stop, so that no connection is
-// refused in an upgrade; its state is imported before the first server list and before the store is read, as it is
-// newer than both; and the process can be followed by a successor before it first reports that it is ready.
+// The order of the steps matters. Sockets are open before the predecessor is asked to stop, so that no connection is
+// refused in an upgrade. The predecessor's state is imported before the first server list and before the store is
+// read, because it is newer than both. The process listens for a successor before it first reports that it is ready.
 func serve(getenv func(string) string, opt options) error {
 	signals := notifySignals()
 	defer signals.stop()
@@ -116,7 +117,7 @@
 		g.startPeerExchange(ctx, opt.learnByDatagram)
 	}
 	g.addCounters(g.discoveryCounts, g.recoveryCounts)
-	g.listenForSuccessor() // before this process is ready: whoever sees that may start a successor
+	g.listenForSuccessor() // before this process is ready, as an operator may start a successor as soon as it is
 	g.startDiscovery(ctx, false)
 	g.startKnowledgeExchange(opt.linkProgram)
 	slog.Info("started", "name", cfg.Name, "listen", cfg.Listen, "members", g.pool.ReadyServers(),
@@ -124,7 +125,8 @@
 	return g.handleSignals(signals, func() error { return g.reload(ctx, getenv, opt.siteFile) })
 }
 
-// handleSignals returns once a graceful shutdown has ended, with nil, or once a listener has failed.
+// handleSignals handles signals until a graceful shutdown has ended, and returns nil, or until a listener fails, and
+// returns its error.
 func (g *gateway) handleSignals(signals signalChannels, reload func() error) error {
 	idle := make(chan struct{}) // closed when a shutdown has ended
 	for {
@@ -149,7 +151,7 @@
 				g.logCounters("counters")
 				continue
 			}
-			// A reload counts during a drain as well: open requests need the updates of the pool.
+			// A reload takes effect during a drain as well, because open requests need the updates of the pool.
 			if err := reload(); err != nil {
 				slog.Error("reload_failed", "err", err)
 			}
@@ -157,7 +159,7 @@
 	}
 }
 
-// waitUntilIdle waits until the process may exit, which the phase decides by the number of open client connections.
+// waitUntilIdle waits until the process may exit, which g.phase decides by the number of open client connections.
 func (g *gateway) waitUntilIdle() {
 	for open := -1; !g.phase.MayExit(time.Now(), open); time.Sleep(10 * time.Millisecond) {
 		open = g.clientConns()
--- a/cmd/sprucelane/store_test.go
+++ b/cmd/sprucelane/store_test.go
@@ -12,8 +12,9 @@
 	"sprucelane.example/sprucelane/internal/daemon/store"
 )
 
-// Operators inspect a folder, find it damaged, repair it, and see what is left.
-func TestStoreCalls(t *testing.T) {
+// The store commands reject a folder that is open elsewhere, read and compact an intact store, report a damaged record,
+// and after a repair print the records that are left.
+func TestStoreCommands(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "store")
 	fs, err := store.OpenDir(dir)
 	require.NoError(t, err)
@@ -34,7 +35,7 @@
 		return out.String(), err
 	}
 	_, err = call("verify", dir)
-	assert.ErrorIs(t, err, store.ErrLocked, "a gateway has it open")
+	assert.ErrorIs(t, err, store.ErrLocked, "the store is already open")
 	require.NoError(t, s.Close())
 	out, err := call("verify", dir)
 	require.NoError(t, err)
--- a/cmd/sprucelane/storecommand.go
+++ b/cmd/sprucelane/storecommand.go
@@ -14,7 +14,8 @@
 	"sprucelane.example/sprucelane/internal/daemon/store/balances"
 )
 
-// storeCommand returns the operators' commands on a store's folder, which no process may have open at the same time.
+// storeCommand returns the operators' commands on a store's folder. No other process may have the folder open at the
+// same time.
 func storeCommand() *cobra.Command {
 	root := &cobra.Command{Use: "store", Short: "Look at a store's folder, and mend it", Args: cobra.NoArgs,
 		Long: "Looks at the folder that store.path names, and mends it. No gateway may have it open meanwhile."}
@@ -43,7 +44,7 @@
 	return root
 }
 
-// existingFolder opens a folder that is there: store.OpenDir alone would make one for a path that was mistyped.
+// existingFolder opens a folder that exists. store.OpenDir alone would create one for a mistyped path.
 func existingFolder(path string) (store.FS, error) {
 	if _, err := os.Stat(path); err != nil {
 		return nil, err
@@ -105,7 +106,7 @@
 	})
 }
 
-// withStore runs do on an open store, which it closes.
+// withStore opens the store, calls do with it and closes it.
 func withStore(fs store.FS, do func(s *store.Store) error) error {
 	s, err := store.Open(fs, store.Options{})
 	if err != nil {
@@ -114,7 +115,7 @@
 	return errors.Join(do(s), s.Close())
 }
 
-// printFindings prints a line for each finding, and returns the number of those by which something was lost.
+// printFindings prints a line for each finding, and returns the number of findings with data loss.
 func printFindings(out io.Writer, findings []store.Finding) (bad int) {
 	for _, f := range findings {
 		mark := "ok "
--- a/cmd/sprucelane/successor.go
+++ b/cmd/sprucelane/successor.go
@@ -17,15 +17,15 @@
 )
 
 const (
-	// predecessorTimeout is how long a successor waits for a predecessor that hands over to another process.
+	// predecessorTimeout is how long a successor waits while the predecessor hands over to another process.
 	predecessorTimeout = 2 * time.Second
-	// bindTimeout is how long a successor waits for an address that is in use, every bindInterval.
+	// bindTimeout is how long a successor retries an address that is in use, every bindInterval.
 	bindTimeout  = 10 * time.Second
 	bindInterval = 50 * time.Millisecond
 )
 
-// handoverState is the state that a process hands over beside its sockets. Its JSON is the format between versions of
-// the program.
+// handoverState is the state that a process hands over in addition to its sockets. Its JSON encoding is exchanged
+// between different versions of the program.
 type handoverState struct {
 	List     discovery.State `json:"list"`
 	Module   []byte          `json:"module"`           // core.Core.ExportState
@@ -33,15 +33,15 @@
 	InFlight uint16          `json:"in_flight"`        // inflight.Exchange.Seq
 }
 
-// handoverUpdate is what a predecessor reports once it has handed over, until it exits.
+// handoverUpdate is a report that a predecessor sends repeatedly from the handover until it exits.
 type handoverUpdate struct {
 	Usage handover.Usage `json:"use"`
-	Sent  []core.Sent    `json:"sent,omitempty"` // requests that it has sent to servers since the last update
+	Sent  []core.Sent    `json:"sent,omitempty"` // requests sent to servers since the last update
 }
 
-// connectPredecessor connects to the process that this one follows. It returns nil if there is none or if it can't be
-// talked to; then this process starts without a predecessor. Upgrades need the operators' address, by which
-// they are directed, and a folder that both processes share.
+// connectPredecessor connects to the predecessor of this process. It returns nil if there is none or if the connection
+// fails; this process then starts without a predecessor. Upgrades need the control address, through which operators
+// direct them, and a folder that both processes share.
 func (g *gateway) connectPredecessor(sharedDir string) *handover.Successor {
 	if g.start.Control == "" || sharedDir == "" {
 		return nil
@@ -61,8 +61,8 @@
 	return asSuccessor
 }
 
-// openPeerLink opens the socket to the peers, or goes on with the predecessor's: paused until the predecessor has
-// stopped (takeOver).
+// openPeerLink opens the socket for datagrams of peers, or uses the predecessor's. A link on the predecessor's socket
+// is paused until the predecessor has stopped (takeOver).
 func (g *gateway) openPeerLink(asSuccessor *handover.Successor) error {
 	addr := g.start.PeerListen.String()
 	if conn := asSuccessor.PacketConn(addr); conn != nil {
@@ -84,7 +84,8 @@
 	return nil
 }
 
-// retryAddressInUse opens a socket, and waits for its address if a process that can't hand over still uses it.
+// retryAddressInUse opens a socket. While the address is in use, by a process that can't hand over, it retries for up
+// to bindTimeout.
 func retryAddressInUse[T any](open func() (T, error)) (T, error) {
 	for until := time.Now().Add(bindTimeout); ; time.Sleep(bindInterval) {
 		socket, err := open()
@@ -94,9 +95,10 @@
 	}
 }
 
-// takeOver makes the predecessor stop, imports its state and serves in its place: connections and datagrams that
-// arrived meanwhile wait in the sockets' queues, and are this process's. It tells whether the server list was handed
-// over, too. Without a complete and valid state this process starts as after a restart, with the sockets all the same.
+// takeOver makes the predecessor stop, imports its state and serves in its place. Connections and datagrams that arrive
+// meanwhile wait in the queues of the sockets, and this process handles them. takeOver reports whether the server list
+// was handed over, too. Without a complete and valid state this process starts as after a restart, but still uses the
+// predecessor's sockets.
 func (g *gateway) takeOver(asSuccessor *handover.Successor) (list bool) {
 	if asSuccessor == nil {
 		return false
@@ -120,8 +122,8 @@
 	return list
 }
 
-// importState imports a predecessor's state, and tells whether that includes the server list. What stands before an
-// invalid part is imported.
+// importState imports a predecessor's state, and reports whether that includes the server list. The parts before an
+// invalid one are imported.
 func (g *gateway) importState(encoded []byte) (list bool, err error) {
 	var state handoverState
 	if err = json.Unmarshal(encoded, &state); err == nil {
@@ -136,7 +138,7 @@
 	return list, err
 }
 
-// receiveUpdates takes in what the predecessor reports until it exits.
+// receiveUpdates applies the updates that the predecessor sends until it exits.
 func (g *gateway) receiveUpdates(asSuccessor *handover.Successor) {
 	asSuccessor.ReceiveUpdates(func(encoded []byte) {
 		var update handoverUpdate
--- a/cmd/sprucelane/upgrade_test.go
+++ b/cmd/sprucelane/upgrade_test.go
@@ -23,7 +23,7 @@
 	"sprucelane.example/sprucelane/internal/fake"
 )
 
-// TestMain makes the test's own program a gateway if the environment says so.
+// TestMain runs the test binary as a gateway if SPRUCELANE_TEST_SERVE is set.
 func TestMain(m *testing.M) {
 	if os.Getenv("SPRUCELANE_TEST_SERVE") != "" {
 		main()
@@ -31,8 +31,8 @@
 	os.Exit(m.Run())
 }
 
-// site runs the processes of one gateway: real ones, with a shared folder, one fake server and an agent that never
-// answers.
+// site runs the processes of one gateway, as real processes with a shared folder, one fake server and a discovery agent
+// that never answers.
 type site struct {
 	t      *testing.T
 	dir    string
@@ -87,8 +87,8 @@
 	return p
 }
 
-// ready waits until the process is ready, as operators see it.
-func (p *process) ready() {
+// waitUntilReady waits until the process reports at its control address that it is ready.
+func (p *process) waitUntilReady() {
 	require.Eventually(p.t, func() bool {
 		c, err := net.Dial("tcp", p.control)
 		if err != nil {
@@ -102,11 +102,11 @@
 	}, time.Minute, 5*time.Millisecond)
 }
 
-func (p *process) says(text string) {
+func (p *process) waitForLog(text string) {
 	require.Eventually(p.t, func() bool { return strings.Contains(p.lines.String(), text) }, time.Minute, 5*time.Millisecond, text)
 }
 
-func (p *process) term() {
+func (p *process) terminate() {
 	require.NoError(p.t, p.Process.Signal(syscall.SIGTERM))
 	select {
 	case err := <-p.ended:
@@ -116,19 +116,19 @@
 	}
 }
 
-// client sends requests without a pause, on a connection that it keeps until a response closes it, as the platform's
-// clients do.
+// client sends requests one after the other, on a connection that it keeps until a response closes it, as the
+// platform's clients do.
 type client struct {
-	site     *site
-	conn     net.Conn
-	in       *bufio.Reader
-	n        int
-	asked    map[string]int // by result
-	refused  int            // connections that were refused, or closed with a request open
-	customer int
+	site      *site
+	conn      net.Conn
+	in        *bufio.Reader
+	n         int
+	responses map[string]int // number of responses by status code
+	refused   int            // connections that were refused, or closed with a request open
+	customer  int
 }
 
-func (c *client) ask() {
+func (c *client) send() {
 	if c.conn == nil {
 		conn, err := net.Dial("tcp", c.site.host+":8080")
 		if err != nil {
@@ -147,47 +147,48 @@
 	}
 	if err != nil {
 		c.refused++
-		c.leave()
+		c.disconnect()
 		return
 	}
-	if c.asked[fmt.Sprint(resp.StatusCode)]++; resp.Close {
-		c.leave()
+	if c.responses[fmt.Sprint(resp.StatusCode)]++; resp.Close {
+		c.disconnect()
 	}
 }
 
-func (c *client) leave() {
+func (c *client) disconnect() {
 	if c.conn != nil {
 		c.conn.Close()
 		c.conn = nil
 	}
 }
 
-// load runs clients until the function that it returns is called, which returns their results.
+// load runs clients until the returned function is called. That function returns the number of responses by status
+// code, and the number of refused connections.
 func (s *site) load(clients int) func() (map[string]int, int) {
-	stop, all := make(chan bool), sync.WaitGroup{}
+	stop, running := make(chan bool), sync.WaitGroup{}
 	list := make([]*client, clients)
 	for i := range list {
-		c := &client{site: s, asked: map[string]int{}, customer: i + 1}
+		c := &client{site: s, responses: map[string]int{}, customer: i + 1}
 		list[i] = c
-		all.Go(func() {
-			defer c.leave()
+		running.Go(func() {
+			defer c.disconnect()
 			for {
 				select {
 				case <-stop:
 					return
 				case <-time.After(time.Duration(3+i) * time.Millisecond):
-					c.ask()
+					c.send()
 				}
 			}
 		})
 	}
 	return func() (map[string]int, int) {
 		close(stop)
-		all.Wait()
+		running.Wait()
 		sum, refused := map[string]int{}, 0
 		for _, c := range list {
 			refused += c.refused
-			for code, n := range c.asked {
+			for code, n := range c.responses {
 				sum[code] += n
 			}
 		}
@@ -196,132 +197,132 @@
 }
 
 // A successor takes over under load: no connection is refused, each request is answered, and the predecessor exits once
-// all that it has accepted is answered. A drain outlives the upgrade.
+// it has answered all requests that it accepted. A drained gateway is still drained after an upgrade.
 func TestUpgradeUnderLoad(t *testing.T) {
 	s := newSite(t, fake.OK("done"))
 	first := s.start()
-	first.ready()
-	begun, end := time.Now(), s.load(8)
+	first.waitUntilReady()
+	start, stopLoad := time.Now(), s.load(8)
 	time.Sleep(400 * time.Millisecond) // until the customers' bursts are used up
 	second := s.start()
-	second.ready()
-	first.says("step=given")
-	first.term()
-	second.says("step=alone")
+	second.waitUntilReady()
+	first.waitForLog("step=given")
+	first.terminate()
+	second.waitForLog("step=alone")
 	third := s.start()
-	third.ready()
-	second.term()
+	third.waitUntilReady()
+	second.terminate()
 	time.Sleep(100 * time.Millisecond)
-	answers, refused := end()
+	responses, refused := stopLoad()
 	assert.Zero(t, refused)
-	assert.NotZero(t, answers["200"])
-	for code := range answers {
+	assert.NotZero(t, responses["200"])
+	for code := range responses {
 		assert.Contains(t, []string{"200", "429"}, code)
 	}
-	most := 8 * (40 + time.Since(begun).Seconds()) // a burst of 40 and 1 a second of each customer; a few more are admitted by chance
-	assert.Less(t, float64(answers["200"]), 1.3*most, "the three processes together keep to the quotas")
+	quota := 8 * (40 + time.Since(start).Seconds()) // a burst of 40 and 1 a second of each customer; a few more are admitted by chance
+	assert.Less(t, float64(responses["200"]), 1.3*quota, "the three processes together keep to the quotas")
 	resp, err := http.Post("http://"+third.control+"/drain", "", nil)
 	require.NoError(t, err)
 	resp.Body.Close()
 	fourth := s.start()
-	fourth.ready()
-	third.term()
+	fourth.waitUntilReady()
+	third.terminate()
 	resp, err = http.Get("http://" + s.host + ":8080/ready")
 	require.NoError(t, err)
 	resp.Body.Close()
 	assert.Equal(t, http.StatusServiceUnavailable, resp.StatusCode)
-	fourth.term()
+	fourth.terminate()
 }
 
-// If a successor is killed, before or after it has taken over, the predecessor serves again, and the next successor
-// takes over all the same. Two at once take over one after the other.
-func TestSuccessorsThatDie(t *testing.T) {
+// If a successor is killed, before or after it has taken over, the predecessor serves again, and the next
+// successor can still take over. Two successors that start at the same time take over one after the other.
+func TestKilledSuccessor(t *testing.T) {
 	s := newSite(t, fake.OK("done"))
 	first := s.start()
-	first.ready()
+	first.waitUntilReady()
 	second := s.start()
-	second.ready()
+	second.waitUntilReady()
 	second.Process.Kill()
-	first.says("step=taken_back")
-	c := &client{site: s, asked: map[string]int{}, customer: 1}
-	c.ask()
-	assert.Equal(t, map[string]int{"200": 1}, c.asked)
-	c.leave()
+	first.waitForLog("step=taken_back")
+	c := &client{site: s, responses: map[string]int{}, customer: 1}
+	c.send()
+	assert.Equal(t, map[string]int{"200": 1}, c.responses)
+	c.disconnect()
 	third, fourth := s.start(), s.start()
-	third.ready()
-	fourth.ready()
-	first.term()
+	third.waitUntilReady()
+	fourth.waitUntilReady()
+	first.terminate()
 	last := third
 	if strings.Contains(third.lines.String(), "step=given") {
 		last = fourth
-		third.term()
+		third.terminate()
 	} else {
-		fourth.term()
+		fourth.terminate()
 	}
-	c.ask()
-	assert.Equal(t, map[string]int{"200": 2}, c.asked)
-	c.leave()
-	last.term()
+	c.send()
+	assert.Equal(t, map[string]int{"200": 2}, c.responses)
+	c.disconnect()
+	last.terminate()
 }
 
-// A predecessor that hangs, or that was killed and left its socket file, doesn't keep a successor from serving.
-func TestPredecessorsThatDontAnswer(t *testing.T) {
+// A predecessor that hangs, or that was killed and left its socket file behind, doesn't keep a successor from serving.
+func TestUnresponsivePredecessor(t *testing.T) {
 	s := newSite(t, fake.OK("done"))
 	first := s.start()
-	first.ready()
+	first.waitUntilReady()
 	require.NoError(t, first.Process.Signal(syscall.SIGSTOP))
 	second := s.start()
-	second.ready()
-	second.says("step=alone")
+	second.waitUntilReady()
+	second.waitForLog("step=alone")
 	first.Process.Kill()
 	<-first.ended
 	second.Process.Kill()
 	<-second.ended
 	third := s.start()
-	third.ready()
-	c := &client{site: s, asked: map[string]int{}, customer: 1}
-	c.ask()
-	assert.Equal(t, map[string]int{"200": 1}, c.asked)
-	c.leave()
-	third.term()
+	third.waitUntilReady()
+	c := &client{site: s, responses: map[string]int{}, customer: 1}
+	c.send()
+	assert.Equal(t, map[string]int{"200": 1}, c.responses)
+	c.disconnect()
+	third.terminate()
 }
 
-// SIGTERM may arrive before the handover: the predecessor answers what it has accepted, and later connections wait
-// for the successor.
-func TestSuccessorOfOneThatEnds(t *testing.T) {
+// If SIGTERM arrives before the handover, the predecessor answers the requests that it has accepted, and the successor
+// serves later connections, which wait until it is ready.
+func TestHandoverDuringShutdown(t *testing.T) {
 	s := newSite(t, func(p *fake.Peer, c net.Conn, r fake.Seen) bool {
 		time.Sleep(time.Second)
 		return fake.OK("slow")(p, c, r)
 	}, fake.OK("done"))
 	first := s.start()
-	first.ready()
-	slow, quick := &client{site: s, asked: map[string]int{}, customer: 1}, &client{site: s, asked: map[string]int{}, customer: 2}
-	var asked sync.WaitGroup
-	asked.Go(slow.ask)
+	first.waitUntilReady()
+	slow, quick := &client{site: s, responses: map[string]int{}, customer: 1}, &client{site: s, responses: map[string]int{}, customer: 2}
+	var responses sync.WaitGroup
+	responses.Go(slow.send)
 	require.Eventually(t, func() bool { return len(s.member.Seen()) == 1 }, time.Minute, time.Millisecond)
 	require.NoError(t, first.Process.Signal(syscall.SIGTERM))
 	second := s.start()
-	second.ready()
-	quick.ask()
-	asked.Wait()
+	second.waitUntilReady()
+	quick.send()
+	responses.Wait()
 	for _, c := range []*client{slow, quick} {
-		assert.Equal(t, map[string]int{"200": 1}, c.asked)
+		assert.Equal(t, map[string]int{"200": 1}, c.responses)
 		assert.Zero(t, c.refused)
-		c.leave()
+		c.disconnect()
 	}
 	assert.NoError(t, <-first.ended)
-	second.term()
+	second.terminate()
 }
 
-// A process that has handed over still has the descriptors that its clients' last requests need, though it had no
-// connection to a server open then.
+// A process that has handed over still has the descriptors that its clients' last requests need, even if it had no
+// connection to a server open at the handover.
 func TestLastRequestsFindDescriptors(t *testing.T) {
 	s := newSite(t, func(p *fake.Peer, c net.Conn, r fake.Seen) bool {
 		time.Sleep(200 * time.Millisecond) // all requests are in flight
 		return fake.OK("slow")(p, c, r)
 	})
 	first := s.start()
-	first.ready()
+	first.waitUntilReady()
 	var clients []net.Conn
 	var in []*bufio.Reader
 	for i := range 4 { // the initial estimate of a server's capacity
@@ -330,15 +331,15 @@
 		defer c.Close()
 		c.SetDeadline(time.Now().Add(time.Minute))
 		clients, in = append(clients, c), append(in, bufio.NewReader(c))
-		fmt.Fprint(c, "GET /ready HTTP/1.1\r\nHost: x\r\n\r\n") // so that the connection is this process's
+		fmt.Fprint(c, "GET /ready HTTP/1.1\r\nHost: x\r\n\r\n") // so that the first process has accepted the connection
 		resp, err := http.ReadResponse(in[i], nil)
 		require.NoError(t, err)
 		io.Copy(io.Discard, resp.Body)
-		fmt.Fprint(c, "POST /work-order/x HTTP/1.1\r\n") // a request has begun, so the connection is not idle
+		fmt.Fprint(c, "POST /work-order/x HTTP/1.1\r\n") // begins a request, so that the connection is not idle
 	}
 	second := s.start()
-	second.ready()
-	first.says("step=given")
+	second.waitUntilReady()
+	first.waitForLog("step=given")
 	for i, c := range clients {
 		fmt.Fprintf(c, "Host: x\r\nX-Request-Id: %d\r\nX-Class: work-order\r\nX-Tariff: utility\r\nX-Subscriber: %016x\r\n"+
 			"X-Deadline-Ms: 20000\r\nX-Weight: units=1,spread=1,first=0\r\nContent-Length: 1\r\n\r\nx", i, i+1)
@@ -349,11 +350,11 @@
 		assert.Equal(t, http.StatusOK, resp.StatusCode)
 		assert.True(t, resp.Close)
 	}
-	first.term()
-	second.term()
+	first.terminate()
+	second.terminate()
 }
 
-// Without the operators' address or a shared folder no socket for successors is opened.
+// Without the control address or a shared folder no socket for successors is opened.
 func TestNoUpgradesWithoutControl(t *testing.T) {
 	s := newSite(t, fake.OK("done"))
 	for _, env := range []string{"ROUTER_CONTROL=", "TMPDIR="} {
@@ -366,10 +367,10 @@
 		require.NoError(t, os.RemoveAll(filepath.Join(s.dir, "sprucelane-n0.sock")))
 		require.NoError(t, p.Start())
 		go func() { p.ended <- p.Wait() }()
-		p.says("event=started")
+		p.waitForLog("event=started")
 		_, err := os.Stat(filepath.Join(s.dir, "sprucelane-n0.sock"))
 		assert.ErrorIs(t, err, os.ErrNotExist, env)
-		p.term()
+		p.terminate()
 		assert.NotContains(t, p.lines.String(), "handover")
 	}
 }
