--- a/cmd/sprucelane-link/exchange.go
+++ b/cmd/sprucelane-link/exchange.go
@@ -13,25 +13,27 @@
 	"sprucelane.example/sprucelane/internal/daemon/knowledge/pipe"
 )
 
-// clockStart is the time of the exchange's clock when the program starts. It is well above 0, so that what was seen
-// before the start has a time, too.
+// clockStart is the time of the exchange's clock when the program starts. It is well above 0, so that observations from
+// before the start have a valid time, too.
 const clockStart = time.Hour
 
-// exchange serves one gateway until that closes its end of the pipe or ctx ends. The gateway says hello and then sends
-// its states; each is answered with an update, and one more is sent once the initial sync with the peers has ended.
+// exchange serves one gateway until the gateway closes its end of the pipe or ctx ends. The gateway sends a hello and
+// then its states. Each state is answered with an update, and one more update is sent once the initial sync with the
+// peers has ended.
 func exchange(ctx context.Context, in io.Reader, out io.Writer) error {
-	end := pipe.New(in, out)
+	conn := pipe.New(in, out)
 	var hello pipe.Hello
-	if err := end.Receive(&hello); err != nil {
+	if err := conn.Receive(&hello); err != nil {
 		return err
 	}
 	options, err := exchangeOptions(hello)
 	if err != nil {
 		return err
 	}
-	// The first state says which servers are listed: facts on others would be dropped.
+	// The first state is needed before the exchange opens: it names the listed servers, and facts about other servers
+	// would be dropped.
 	var state pipe.State
-	if err := end.Receive(&state); err != nil {
+	if err := conn.Receive(&state); err != nil {
 		return err
 	}
 	e, err := link.Open(options, state.Own)
@@ -47,9 +49,9 @@
 			update.Learnt = true
 		default:
 		}
-		return end.Send(update)
+		return conn.Send(update)
 	}
-	states, failed := receiveStates(ctx, end)
+	states, failed := receiveStates(ctx, conn)
 	if err := send(e.Update(state.Own, state.Deaf, state.Blind)); err != nil {
 		return err
 	}
@@ -60,7 +62,7 @@
 				return err
 			}
 		case <-initialSync:
-			initialSync = nil // reported once
+			initialSync = nil // so that the end of the initial sync is reported only once
 			if err := send(e.Priors()); err != nil {
 				return err
 			}
@@ -68,7 +70,7 @@
 			if errors.Is(err, io.EOF) {
 				return nil
 			}
-			return fmt.Errorf("the gateway's end: %w", err)
+			return fmt.Errorf("receive a state from the gateway: %w", err)
 		case <-ctx.Done():
 			return nil
 		}
@@ -94,13 +96,14 @@
 	return options, nil
 }
 
-// receiveStates receives the gateway's states in a goroutine of its own, until one fails or ctx ends.
-func receiveStates(ctx context.Context, end *pipe.Conn) (<-chan pipe.State, <-chan error) {
+// receiveStates starts a goroutine that receives the gateway's states until receiving fails or ctx ends. The states and
+// the error are sent on the returned channels.
+func receiveStates(ctx context.Context, conn *pipe.Conn) (<-chan pipe.State, <-chan error) {
 	states, failed := make(chan pipe.State), make(chan error, 1)
 	go func() {
 		for {
 			var s pipe.State
-			if err := end.Receive(&s); err != nil {
+			if err := conn.Receive(&s); err != nil {
 				failed <- err
 				return
 			}
--- a/cmd/sprucelane-link/knowledge.go
+++ b/cmd/sprucelane-link/knowledge.go
@@ -19,7 +19,7 @@
 	"sprucelane.example/sprucelane/internal/daemon/knowledge/link"
 )
 
-// knowledgeCommand asks a gateway what it knows of the servers, and prints it.
+// knowledgeCommand returns the command that asks a gateway for its knowledge of the servers, and prints the answer.
 func knowledgeCommand() *cobra.Command {
 	var peer, cert, key, ca, name string
 	var plain, asJSON bool
@@ -68,7 +68,7 @@
 	return cmd
 }
 
-// sortedFacts returns a picture's facts, by server and observer.
+// sortedFacts returns the facts of a picture, sorted by server and observer.
 func sortedFacts(p *pb.Picture) []knowledge.Fact {
 	list := link.FromWire(p, 0)
 	slices.SortFunc(list, func(x, y knowledge.Fact) int {
@@ -77,11 +77,11 @@
 	return list
 }
 
-// factJSON is a fact as --json prints it, with the keys in alphabetical order. Durations are in seconds. See
-// knowledge.Fact.
+// factJSON is the format in which --json prints a fact, with the keys in alphabetical order. Durations are in seconds.
+// See knowledge.Fact.
 type factJSON struct {
 	Age          float64  `json:"age_s"`
-	Answered     *float64 `json:"answered_s"` // null: the observer has had no answer
+	Answered     *float64 `json:"answered_s"` // null: the observer has received no answer
 	Answers      float64  `json:"answers"`
 	Blind        float64  `json:"blind_s"`
 	Cold         int      `json:"cold"`
@@ -156,7 +156,7 @@
 	return table.Flush()
 }
 
-// formatSeconds formats a duration; - means none.
+// formatSeconds formats a duration in seconds, and returns "-" if it is not positive.
 func formatSeconds(d time.Duration) string {
 	if d <= 0 {
 		return "-"
--- a/cmd/sprucelane-link/main.go
+++ b/cmd/sprucelane-link/main.go
@@ -1,7 +1,7 @@
-// Command sprucelane-link connects a gateway to its peers for the exchange of knowledge of the servers (package
-// knowledge). A gateway that exchanges knowledge runs it as a child process, with "exchange"; operators use it through
-// "sprucelane knowledge", which prints what a gateway knows. It is a program of its own because gRPC would cost every
-// gateway memory, also those that exchange nothing.
+// Command sprucelane-link connects a gateway to its peers, to exchange knowledge of the servers (package knowledge). A
+// gateway that exchanges knowledge runs it as a child process, with the command "exchange". Operators use it through
+// "sprucelane knowledge", which prints a gateway's knowledge of the servers. It is a separate program because gRPC
+// would cost every gateway memory, including those that exchange no knowledge.
 package main
 
 import (
@@ -37,7 +37,7 @@
 	root.AddCommand(knowledgeCommand(), &cobra.Command{Use: "exchange", Hidden: true, Args: cobra.NoArgs,
 		Short: "Exchange knowledge for the gateway at the other end of standard input and output",
 		RunE: func(*cobra.Command, []string) error {
-			signal.Ignore(os.Interrupt) // a terminal sends it to the gateway as well, which ends this program
+			signal.Ignore(os.Interrupt) // a terminal sends it to the gateway as well, which then ends this program
 			ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM)
 			defer stop()
 			return exchange(ctx, os.Stdin, os.Stdout)
--- a/cmd/sprucelane-link/main_test.go
+++ b/cmd/sprucelane-link/main_test.go
@@ -17,11 +17,11 @@
 	"sprucelane.example/sprucelane/internal/daemon/knowledge/pipe"
 )
 
-// gateway is the other end of an exchange.
+// gateway is the gateway's end of an exchange.
 type gateway struct {
-	t   *testing.T
-	end *pipe.Conn
-	out io.Closer
+	t    *testing.T
+	conn *pipe.Conn
+	out  io.Closer
 }
 
 func start(t *testing.T, name string, own []knowledge.Observation, peers ...string) *gateway {
@@ -35,18 +35,18 @@
 		go io.Copy(io.Discard, fromChild)
 		assert.NoError(t, <-done)
 	})
-	require.NoError(t, g.end.Send(pipe.Hello{Me: knowledge.Observer{Name: name, Birth: 1}, Listen: "127.0.0.1:0", Peers: peers, Plain: true}))
-	require.NoError(t, g.end.Send(pipe.State{Own: own}))
+	require.NoError(t, g.conn.Send(pipe.Hello{Me: knowledge.Observer{Name: name, Birth: 1}, Listen: "127.0.0.1:0", Peers: peers, Plain: true}))
+	require.NoError(t, g.conn.Send(pipe.State{Own: own}))
 	return g
 }
 
-func (g *gateway) hear() (n pipe.Update) {
+func (g *gateway) receive() (n pipe.Update) {
 	g.t.Helper()
-	require.NoError(g.t, g.end.Receive(&n))
+	require.NoError(g.t, g.conn.Receive(&n))
 	return n
 }
 
-func sightings(stalled string) (list []knowledge.Observation) {
+func observations(stalled string) (list []knowledge.Observation) {
 	for _, id := range []string{"m-1", "m-2", "m-3", "m-4"} {
 		s := knowledge.Observation{Life: knowledge.Life{Instance: id, StartedMs: 1764590400000}, Answered: -1, Warmth: 0.5}
 		if stalled != "" {
@@ -59,19 +59,19 @@
 	return list
 }
 
-// Two gateways' link programs, end to end: what one sees is a prior of the other before it says that it has learnt, and
-// anyone may print it.
+// The link programs of two gateways exchange knowledge, end to end: the observations of the first gateway are priors of
+// the second by the time the second reports the end of its initial sync. The knowledge command prints them.
 func TestExchange(t *testing.T) {
-	a := start(t, "g0", sightings("m-2"))
-	addr := a.hear().Addr
-	b := start(t, "g1", sightings(""), addr)
+	a := start(t, "g0", observations("m-2"))
+	addr := a.receive().Addr
+	b := start(t, "g1", observations(""), addr)
 	var n pipe.Update
-	for n = b.hear(); !n.Learnt; n = b.hear() {
-		require.NoError(t, b.end.Send(pipe.State{Own: sightings("")}))
+	for n = b.receive(); !n.Learnt; n = b.receive() {
+		require.NoError(t, b.conn.Send(pipe.State{Own: observations("")}))
 	}
-	for len(n.Priors) < 4 { // a state that crossed the picture is answered first
-		require.NoError(t, b.end.Send(pipe.State{Own: sightings("")}))
-		n = b.hear()
+	for len(n.Priors) < 4 { // the answer to a state sent before the peer's picture arrived may come first
+		require.NoError(t, b.conn.Send(pipe.State{Own: observations("")}))
+		n = b.receive()
 	}
 	assert.True(t, n.Priors[1].Suspect)
 	assert.False(t, n.Priors[0].Suspect)
--- a/cmd/sprucelane-sim/main.go
+++ b/cmd/sprucelane-sim/main.go
@@ -1,6 +1,6 @@
-// Command sprucelane-sim runs the policy of many gateways under a simulator, which it is connected to by standard input
-// and output (package internal/daemon/wire). The gateways share nothing but server lists; they only learn from each other by
-// the messages that the simulator delivers.
+// Command sprucelane-sim runs the policy of many gateways under a simulator, to which it is connected by standard input
+// and output (package internal/daemon/wire). The gateways share nothing but server lists: they learn from each other
+// only by the messages that the simulator delivers.
 package main
 
 import (
@@ -22,11 +22,11 @@
 	}
 }
 
-// bufferSize of input and output, in bytes.
+// bufferSize is the size of the buffers for input and output, in bytes.
 const bufferSize = 1 << 16
 
-// run answers each batch with one reply until the input ends between two batches. A malformed batch ends it with an
-// error that names the event.
+// run answers each batch with one reply until the input ends between two batches, and then returns nil. An event that
+// cannot be handled ends it with an error that contains the event's index in its batch.
 func run(in io.Reader, out io.Writer) error {
 	r := bufio.NewReaderSize(in, bufferSize)
 	w := bufio.NewWriterSize(out, bufferSize)
@@ -53,17 +53,17 @@
 	}
 }
 
-// maxListNumber is the highest number of a server list.
+// maxListNumber is the highest number that a server list may have.
 const maxListNumber = 15
 
 // adapter holds the gateways of a simulation, and the actions of the batch that is being handled.
 type adapter struct {
 	gateways map[uint16]*policy.Gateway
-	lists    map[uint32][]policy.ServerInfo // by their numbers
+	lists    map[uint32][]policy.ServerInfo // by list number
 	actions  wire.Actions
 }
 
-// handleEvent passes an event to the gateway that it is for. Events that the policy has no use for are skipped.
+// handleEvent passes an event to the gateway that it is addressed to. Events that the policy doesn't use are skipped.
 func (a *adapter) handleEvent(now policy.Time, e *wire.Event) error {
 	switch e.Code {
 	case wire.ListDefined:
@@ -100,7 +100,7 @@
 	return nil
 }
 
-// startGateway starts a gateway, in the place of an earlier one of the same number.
+// startGateway starts a gateway, which replaces an earlier one with the same number.
 func (a *adapter) startGateway(e *wire.Event) error {
 	deployment, err := config.ParseSettings(e.Settings)
 	if err != nil {
@@ -115,7 +115,7 @@
 	return nil
 }
 
-// receiveList passes a server list to a gateway, or that none could be had.
+// receiveList passes a server list to a gateway, or, with the kind policy.ListFailed, the failure to get one.
 func (a *adapter) receiveList(g *policy.Gateway, now policy.Time, e *wire.Event) error {
 	kind := policy.ListKind(e.ListKind)
 	if kind > policy.ListFailed {
--- a/cmd/sprucelane-sim/main_test.go
+++ b/cmd/sprucelane-sim/main_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-const boot = `{"group_size":1,"services":[{"objective":500000000,"give_up":2000000000,"effect":"free","worth":1}],
+const settingsJSON = `{"group_size":1,"services":[{"objective":500000000,"give_up":2000000000,"effect":"free","worth":1}],
 	"tiers_of_service":[{"rate":10,"depth":10,"price":1}],"tick":1000000,"allowed":{"max_attempts":2}}`
 
 func batch(records ...[]byte) []byte {
@@ -17,12 +17,12 @@
 	return append(binary.BigEndian.AppendUint64(out, 1e9), body...)
 }
 
-func born(text string) []byte {
+func gatewayStarted(text string) []byte {
 	out := append([]byte{10, 0, 1}, make([]byte, 8)...)
 	return append(binary.BigEndian.AppendUint32(out, uint32(len(text))), text...)
 }
 
-func order(id byte) []byte {
+func requestReceived(id byte) []byte {
 	out := append([]byte{30, 0, 1}, make([]byte, 42)...)
 	out[10] = id
 	binary.BigEndian.PutUint64(out[25:], 2e9)
@@ -35,7 +35,7 @@
 	sync := append([]byte{20, 0, 1, 2}, make([]byte, 12)...)
 	var in, out bytes.Buffer
 	in.Write(batch())
-	in.Write(batch(born(boot), list, sync, order(5)))
+	in.Write(batch(gatewayStarted(settingsJSON), list, sync, requestReceived(5)))
 	if err := run(&in, &out); err != nil {
 		t.Fatal(err)
 	}
@@ -53,12 +53,12 @@
 
 func TestMalformedInput(t *testing.T) {
 	for name, in := range map[string][]byte{
-		"cut off":          batch(born(boot))[:30],
-		"unknown instance": batch(order(1)),
-		"unknown list":     batch(born(boot), append([]byte{20, 0, 1, 2}, make([]byte, 12)...)),
+		"cut off":          batch(gatewayStarted(settingsJSON))[:30],
+		"unknown instance": batch(requestReceived(1)),
+		"unknown list":     batch(gatewayStarted(settingsJSON), append([]byte{20, 0, 1, 2}, make([]byte, 12)...)),
 		"list number":      batch([]byte{120, 0, 0, 0, 99, 0, 0, 0, 0}),
-		"settings":         batch(born(`{"services":[]}`)),
-		"list kind":        batch(born(boot), append([]byte{20, 0, 1, 9}, make([]byte, 12)...)),
+		"settings":         batch(gatewayStarted(`{"services":[]}`)),
+		"list kind":        batch(gatewayStarted(settingsJSON), append([]byte{20, 0, 1, 9}, make([]byte, 12)...)),
 	} {
 		var out bytes.Buffer
 		err := run(bytes.NewReader(in), &out)
