--- a/cmd/sprucelane-batch/main.go
+++ b/cmd/sprucelane-batch/main.go
@@ -1,10 +1,10 @@
-// Command sprucelane-batch is the store process of a machine with a disk: it keeps batch jobs together with
-// the stores of other machines, runs their items at model servers and serves their results
+// Command sprucelane-batch runs the store process of a machine with a disk. Together with the stores of other
+// machines it keeps batch jobs, runs their items at model servers and serves their results
 // (internal/batch/server).
 //
 // Flags, the settings file and exit codes are those of internal/node/program. SIGTERM ends it with exit
-// code 0, SIGHUP has it read the settings again. It ends with an error if the settings don't fit a store or
-// its log fails; a disk that can't be read at a start is tried again until it can.
+// code 0, and SIGHUP makes it read the settings again. It ends with an error if the settings are not valid for
+// a store or if its log fails. If the disk can't be read at the start, it retries until the disk can be read.
 package main
 
 import (
@@ -18,7 +18,7 @@
 
 func main() { os.Exit(run(os.Args[1:])) }
 
-// run is the process; it returns the exit code.
+// run runs the process and returns its exit code.
 func run(arguments []string) int {
 	signals := program.CatchSignals()
 	p, code := program.Begin(arguments, server.Check)
@@ -47,7 +47,7 @@
 	return program.ExitOK
 }
 
-// watchSignals ends the process on SIGTERM, and reloads the settings on SIGHUP. A SIGHUP that comes before
+// watchSignals ends the process on SIGTERM, and reloads the settings on SIGHUP. A SIGHUP that arrives before
 // the disk is open stays in its channel until then.
 func watchSignals(signals *program.Signals, stop context.CancelFunc, opened <-chan *server.Server, p *program.Program) {
 	var s *server.Server
--- a/cmd/sprucelane-control/main.go
+++ b/cmd/sprucelane-control/main.go
@@ -1,9 +1,9 @@
-// Command sprucelane-control is a process of the control plane (internal/control): with the other control
-// processes it keeps the operator's configuration and the store membership, serves the operator's API, reads
-// the platform's list of servers, and sends gateways and batch processes what they need.
+// Command sprucelane-control runs a process of the control plane (internal/control). Together with the other
+// control processes it keeps the operator's configuration and the store membership. It serves the operator's
+// API, reads the platform's list of servers, and sends gateways and batch processes the data that they need.
 //
 // The exit code is 0 after SIGTERM, 1 if the process can't start, and 2 if flags or settings are invalid.
-// SIGHUP makes it read the settings file again, as does a change of the file.
+// It reads the settings file again on SIGHUP and when the file has changed.
 package main
 
 import (
@@ -19,8 +19,8 @@
 	"sprucelane.example/sprucelane/internal/node/program"
 )
 
-// Limits of the Go runtime's memory. The process's memory is paid for, so the heap may grow by half, not by
-// all, between two collections, and the collector works harder the closer the heap comes to the limit.
+// Limits of the Go runtime's memory. The process's memory is paid for, so the heap may grow by 50 % between two
+// collections, not by Go's default of 100 %, and the collector works harder the closer the heap is to the limit.
 const (
 	gcPercent          = 50 // as GOGC
 	memoryLimitPercent = 60 // of limits.memory-mb, as GOMEMLIMIT
@@ -35,7 +35,7 @@
 
 func main() { os.Exit(run(os.Args[1:])) }
 
-// run runs the command and returns its exit code.
+// run runs the command with its arguments and returns the exit code.
 func run(args []string) int {
 	signals := program.CatchSignals()
 	var given arguments
@@ -58,7 +58,8 @@
 	return serve(settings, given, signals)
 }
 
-// exitAfterParse returns the exit code when the flags don't ask for a start: 0 after --help.
+// exitAfterParse prints the help text or the error with which parsing the flags ended, and returns the exit
+// code: 0 after --help.
 func exitAfterParse(err error) int {
 	var flagError *flags.Error
 	if errors.As(err, &flagError) && flagError.Type == flags.ErrHelp {
@@ -69,7 +70,7 @@
 	return program.ExitUsage
 }
 
-// serve runs the control process until it is terminated.
+// serve runs the control process until it is terminated, and returns the exit code.
 func serve(settings *node.Settings, given arguments, signals *program.Signals) int {
 	debug.SetGCPercent(gcPercent)
 	debug.SetMemoryLimit(int64(settings.Limits.MemoryMB) << 20 * memoryLimitPercent / 100)
--- a/cmd/sprucelane-control/settings.go
+++ b/cmd/sprucelane-control/settings.go
@@ -11,11 +11,12 @@
 	"sprucelane.example/sprucelane/internal/node/program"
 )
 
-// settingsPollInterval is how often the settings file is looked at: it may be replaced without a signal.
+// settingsPollInterval is the time between two checks of the settings file for a change, as the file may be
+// replaced without a signal.
 const settingsPollInterval = 2 * time.Second
 
-// load reads and checks the settings, including what only a control process needs. Without a path they come
-// from the environment.
+// load reads and checks the settings, including those that only a control process needs. If path is empty, it
+// reads them from the environment.
 func load(path string) (*node.Settings, error) {
 	if path == "" {
 		return node.Load()
@@ -34,29 +35,29 @@
 	return settings, findings.OrNil()
 }
 
-// watch returns when the process is to terminate, and reloads the settings on SIGHUP and when the file has
-// changed.
+// watch reloads the settings on SIGHUP and when the file has changed. It returns when a signal asks the process
+// to terminate.
 func watch(process *control.Control, path string, signals *program.Signals, log zerolog.Logger) {
 	poll := time.NewTicker(settingsPollInterval)
 	defer poll.Stop()
-	changed := modifiedAt(path)
+	lastModified := modifiedAt(path)
 	for {
 		select {
 		case <-signals.Terminations():
 			return
 		case <-signals.Reloads():
 		case <-poll.C:
-			newest := modifiedAt(path)
-			if newest.Equal(changed) {
+			modified := modifiedAt(path)
+			if modified.Equal(lastModified) {
 				continue
 			}
-			changed = newest
+			lastModified = modified
 		}
 		reload(process, path, log)
 	}
 }
 
-// modifiedAt returns when a file was modified; the zero time if it can't be found.
+// modifiedAt returns the modification time of a file, or the zero time if the file's status can't be read.
 func modifiedAt(path string) time.Time {
 	info, err := os.Stat(path)
 	if err != nil {
@@ -65,7 +66,8 @@
 	return info.ModTime()
 }
 
-// reload applies new settings. Invalid ones are logged, and the former ones stay.
+// reload reads the settings and applies them. If they are invalid, the error is logged and the previous settings
+// stay in force.
 func reload(process *control.Control, path string, log zerolog.Logger) {
 	settings, err := load(path)
 	if err != nil {
--- a/cmd/sprucelane-gateway/main.go
+++ b/cmd/sprucelane-gateway/main.go
@@ -1,4 +1,4 @@
-// Command sprucelane-gateway runs a gateway: it takes clients' requests and forwards them to servers.
+// Command sprucelane-gateway runs a gateway, which accepts clients' requests and forwards them to servers.
 package main
 
 import (
--- a/cmd/sprucelane-gateway/main_test.go
+++ b/cmd/sprucelane-gateway/main_test.go
@@ -13,7 +13,7 @@
 func TestMain(m *testing.M) { programtest.Main(m, run) }
 
 func TestEarlySignals(t *testing.T) {
-	Convey("Signals that come while the process still starts don't end it", t, func() {
+	Convey("Signals that arrive while the process is starting don't kill it", t, func() {
 		So(programtest.ExitAfterEarlySignals(t, syscall.SIGHUP, syscall.SIGHUP), ShouldEqual, program.ExitUsage)
 		So(programtest.ExitAfterEarlySignals(t, syscall.SIGTERM), ShouldEqual, program.ExitUsage)
 	})
