--- a/cmd/sprucelanectl/config.go
+++ b/cmd/sprucelanectl/config.go
@@ -16,7 +16,7 @@
 	"sprucelane.example/sprucelane/internal/controlclient"
 )
 
-// addConfig adds the commands of the group "config".
+// addConfig adds the command group "config".
 func addConfig(parser *flags.Parser, printer *printer) {
 	group := add(parser.Command, "config", "the operator's configuration", &struct{}{})
 	add(group, "check", "check a configuration offline and name every finding by its place",
@@ -33,7 +33,7 @@
 	printer *printer
 }
 
-// Execute prints the newest configuration as control returns it: JSON in both forms of output.
+// Execute prints the newest configuration as the control process returns it, which is JSON in both output forms.
 func (c *configGet) Execute([]string) error {
 	version, document, err := c.Remote.currentConfiguration()
 	if err != nil {
@@ -46,7 +46,8 @@
 	return err
 }
 
-// configChange is the commands "config put", which replaces the configuration, and "config patch".
+// configChange implements the commands "config put", which replaces the configuration, and "config patch",
+// which changes items of it.
 type configChange struct {
 	Remote    controlOptions `group:"Control options"`
 	IfMatch   *uint64        `long:"if-match" value-name:"VERSION" description:"the version that the change builds on, 0 for the first; left out, the newest one"`
@@ -57,7 +58,7 @@
 	printer *printer
 }
 
-// changeResult is the output for an acknowledged change.
+// changeResult is the output after an acknowledged change.
 type changeResult struct {
 	Acknowledged bool   `json:"acknowledged"`
 	BuiltOn      uint64 `json:"built-on"`
@@ -65,8 +66,8 @@
 	By           string `json:"by"` // address of the control process that answered
 }
 
-// Execute sends the change until there is a clear answer. Without one it returns an error, and the change may
-// be in force or not.
+// Execute sends the change repeatedly until a control process has acknowledged or rejected it. Without such an
+// answer it returns an error, and the change may or may not be in force.
 func (c *configChange) Execute([]string) error {
 	body, err := readFile(c.Arguments.File)
 	if err != nil {
@@ -100,7 +101,7 @@
 	return version, err
 }
 
-// currentConfiguration returns the newest configuration and its version. Version 0 is none: there is no
+// currentConfiguration returns the newest configuration and its version. Version 0 means that there is no
 // configuration yet.
 func (o *controlOptions) currentConfiguration() (version uint64, document []byte, err error) {
 	response, err := o.call(controlclient.Request{Method: http.MethodGet, Path: "/config"})
@@ -122,8 +123,8 @@
 	Generation uint64 `json:"generation"`
 }
 
-// generationOf returns the version of a document or patch that control or a check has accepted, and so can be
-// parsed.
+// generationOf returns the version of a document or patch. It ignores parse errors, because a control process or
+// a check has accepted the document before.
 func generationOf(body []byte) uint64 {
 	var head documentHead
 	_ = json.Unmarshal(body, &head)
--- a/cmd/sprucelanectl/config_check.go
+++ b/cmd/sprucelanectl/config_check.go
@@ -8,7 +8,7 @@
 	"sprucelane.example/sprucelane/internal/node"
 )
 
-// configCheck is the command "config check": it checks a configuration offline, as control would.
+// configCheck is the command "config check": it checks a configuration offline, as a control process would.
 type configCheck struct {
 	Patch     bool `long:"patch" description:"the file is a change of named items, not a whole configuration; what it needs of the rest isn't checked"`
 	Arguments struct {
@@ -29,8 +29,8 @@
 	return c.printer.valid(fmt.Sprintf("%s: valid, generation %d", c.Arguments.File, generationOf(body)))
 }
 
-// checkConfiguration returns the findings of the schema, or, if there are none, of the checks in Go, which
-// need a document of the right shape.
+// checkConfiguration returns the findings of the schema check or, if there are none, those of checkReferences,
+// which needs a document that conforms to the schema.
 func checkConfiguration(path string, body []byte, patch bool) node.Findings {
 	findings := schema.Check(body, patch)
 	if len(findings) == 0 {
@@ -42,8 +42,8 @@
 	return findings
 }
 
-// checkReferences makes the checks that span items. Of a patch only what doesn't depend on the version that
-// it changes can be checked.
+// checkReferences runs the checks that span several items. For a patch it runs only the checks that don't depend
+// on the version that the patch changes.
 func checkReferences(body []byte, patch bool) node.Findings {
 	request := configuration.ChangeRequest{Patch: patch, Body: body}
 	if patch {
@@ -52,7 +52,7 @@
 	return configuration.NewState().Evaluate(request).Findings
 }
 
-// joinLocation puts a file's path before a location in it.
+// joinLocation returns a file's path, followed by a location in the file if there is one.
 func joinLocation(path, place string) string {
 	if place == "" {
 		return path
--- a/cmd/sprucelanectl/control_test.go
+++ b/cmd/sprucelanectl/control_test.go
@@ -11,7 +11,8 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// fakeControl has one configuration, as control does: a change must build on its version.
+// fakeControl is a control process with one configuration. Like a real one, it rejects a change that doesn't build on
+// its version.
 type fakeControl struct {
 	version  string
 	document string
@@ -48,7 +49,7 @@
 	fake := &fakeControl{version: "0"}
 	address := startControl(t, fake)
 	change := file(t, "change.json", `{"generation":7}`)
-	Convey("The first configuration builds on 0, which need not be said", t, func() {
+	Convey("The first configuration builds on version 0 without --if-match", t, func() {
 		got := call("config", "put", "--control", address, "-o", "json", change)
 		So(got.errOut, ShouldBeEmpty)
 		So(got.code, ShouldEqual, exitOK)
@@ -58,7 +59,7 @@
 		So(json.Unmarshal([]byte(got.out), &result), ShouldBeNil)
 		So(result, ShouldResemble, changeResult{Acknowledged: true, Generation: 7, By: address})
 	})
-	Convey("The newest is printed as control gives it", t, func() {
+	Convey("The newest configuration is printed as control returns it", t, func() {
 		got := call("config", "get", "--control", "127.0.0.1:1,"+address)
 		So(got.code, ShouldEqual, exitOK)
 		So(got.out, ShouldEqual, "{\"generation\":7}\n")
@@ -68,7 +69,7 @@
 		So(got.code, ShouldEqual, exitFailed)
 		So(got.errOut, ShouldContainSubstring, "412")
 	})
-	Convey("Status shows each control process, and fails where none answers", t, func() {
+	Convey("Status shows each control process, and fails if none answers", t, func() {
 		got := call("status", "--control", address)
 		So(got.code, ShouldEqual, exitOK)
 		So(got.out, ShouldContainSubstring, "version 7")
@@ -76,7 +77,7 @@
 		So(got.code, ShouldEqual, exitFailed)
 		So(got.out, ShouldContainSubstring, "no answer")
 	})
-	Convey("Retirement tells its state, and what isn't there fails", t, func() {
+	Convey("The state of a retirement is printed, and an unknown machine is an error", t, func() {
 		got := call("retire", "start", "--control", address, "store-1")
 		So(got.code, ShouldEqual, exitOK)
 		So(got.out, ShouldEqual, "store-1: active\n")
@@ -84,43 +85,43 @@
 		So(got.code, ShouldEqual, exitFailed)
 		So(got.errOut, ShouldContainSubstring, "404")
 	})
-	Convey("Without an address of control the command line is invalid", t, func() {
+	Convey("Without the address of a control process the command line is invalid", t, func() {
 		got := call("config", "get")
 		So(got.code, ShouldEqual, exitFindings)
 		So(got.errOut, ShouldContainSubstring, "--control")
 	})
 }
 
-const goodConfiguration = `{"generation":7,
+const validConfiguration = `{"generation":7,
 "routes":[{"name":"r","hostname":"a.example","path-prefix":"/p/","route-type":"safe","timeout-ms":100,"backend":"b","max-attempts":1}],
 "backends":[{"name":"b"}],"tenants":[{"name":"t","api-keys":["k"]}]}`
 
 func TestConfigCheck(t *testing.T) {
-	Convey("A valid configuration is said to be", t, func() {
-		got := call("config", "check", file(t, "c.json", goodConfiguration))
+	Convey("A valid configuration is reported as valid", t, func() {
+		got := call("config", "check", file(t, "c.json", validConfiguration))
 		So(got.out, ShouldContainSubstring, "valid, generation 7")
 		So(got.code, ShouldEqual, exitOK)
 	})
 	Convey("Each finding has its location", t, func() {
-		for _, wrong := range []struct{ from, to, says string }{
+		for _, tc := range []struct{ from, to, want string }{
 			{`"timeout-ms":100`, `"timeout-ms":0`, "timeout-ms"},
 			{`"backend":"b"`, `"backend":"x"`, "backend"},
 			{`"generation":7`, `"generation":"seven"`, "generation"},
 			{`"tenants":[`, `"tenants":[{"name":"u","api-keys":["k"]},`, "api-keys"},
 			{`"tenants"`, `tenants`, "c.json"},
 		} {
-			text := strings.Replace(goodConfiguration, wrong.from, wrong.to, 1)
+			text := strings.Replace(validConfiguration, tc.from, tc.to, 1)
 			got := call("config", "check", file(t, "c.json", text))
 			So(got.code, ShouldEqual, exitFindings)
-			So(got.out, ShouldContainSubstring, wrong.says)
+			So(got.out, ShouldContainSubstring, tc.want)
 		}
 	})
-	Convey("A patch is checked by itself", t, func() {
+	Convey("A patch is checked without the configuration that it changes", t, func() {
 		patch := file(t, "p.json", `{"generation":9,"delete":{"routes":["r"]}}`)
 		So(call("config", "check", "--patch", patch).code, ShouldEqual, exitOK)
 		So(call("config", "check", patch).code, ShouldEqual, exitFindings)
 	})
-	Convey("A file that isn't there can't be checked", t, func() {
+	Convey("A missing file is an error", t, func() {
 		So(call("config", "check", "/no/such").code, ShouldEqual, exitFailed)
 	})
 }
--- a/cmd/sprucelanectl/disk.go
+++ b/cmd/sprucelanectl/disk.go
@@ -30,11 +30,11 @@
 	Findings      []finding `json:"findings"`
 }
 
-// errCorrupt is the error after corruption was found. Its findings have been printed by then, so only the
-// exit code is left to set.
+// errCorrupt is returned if corruption was found. The findings have been printed by then, so report adds only
+// this message and the exit code.
 var errCorrupt = errors.New("acknowledged state is missing from the disk")
 
-// Execute reports each corruption by file and offset. It changes nothing on the disk.
+// Execute reports each corruption with its file and offset. It changes nothing on the disk.
 func (c *diskVerify) Execute([]string) error {
 	if _, err := os.Stat(c.Arguments.Folder); err != nil {
 		return err
@@ -43,26 +43,26 @@
 	if c.Corrupt {
 		options.Prefix = replica.CorruptPrefix
 	}
-	found, err := slots.Verify(slots.Directory(c.Arguments.Folder), options)
+	contents, err := slots.Verify(slots.Directory(c.Arguments.Folder), options)
 	if err != nil && !errors.Is(err, slots.ErrCorrupt) {
 		return err
 	}
-	if err == nil && !found.Found && c.Corrupt {
+	if err == nil && !contents.Found && c.Corrupt {
 		return fmt.Errorf("%s has nothing that was kept of a corrupt disk", c.Arguments.Folder)
 	}
-	if err == nil && !found.Found {
+	if err == nil && !contents.Found {
 		return fmt.Errorf("%s holds no store of a control process", c.Arguments.Folder)
 	}
 	result := verifyResult{
 		Intact:        err == nil,
-		SnapshotBytes: len(found.Snapshot),
-		Records:       len(found.Records),
+		SnapshotBytes: len(contents.Snapshot),
+		Records:       len(contents.Records),
 		Findings:      []finding{},
 	}
-	for _, one := range found.Findings {
+	for _, f := range contents.Findings {
 		result.Findings = append(result.Findings, finding{
-			Place: fmt.Sprintf("%s, byte %d", one.File, one.Offset),
-			Text:  one.Problem,
+			Place: fmt.Sprintf("%s, byte %d", f.File, f.Offset),
+			Text:  f.Problem,
 		})
 	}
 	if printError := c.printer.print(result, result.write); printError != nil {
@@ -76,15 +76,15 @@
 
 // write prints the result as text.
 func (v verifyResult) write(out io.Writer) {
-	for _, one := range v.Findings {
-		fmt.Fprintf(out, "%s: %s\n", one.Place, one.Text)
+	for _, f := range v.Findings {
+		fmt.Fprintf(out, "%s: %s\n", f.Place, f.Text)
 	}
 	if v.Intact {
 		fmt.Fprintf(out, "whole: a snapshot of %d bytes and %d records since\n", v.SnapshotBytes, v.Records)
 	}
 }
 
-// addDisk adds the commands of the group "disk".
+// addDisk adds the command group "disk".
 func addDisk(parser *flags.Parser, printer *printer) {
 	group := add(parser.Command, "disk", "disks of control processes", &struct{}{})
 	add(group, "verify", "read the store on a disk and name every damage, changing nothing", &diskVerify{printer: printer})
--- a/cmd/sprucelanectl/main.go
+++ b/cmd/sprucelanectl/main.go
@@ -2,8 +2,8 @@
 // offline, and reads and changes the configuration and retires store machines through control processes.
 // sprucelanectl --help lists the commands, and each has --help.
 //
-// Exit codes: 0, done and nothing found; 1, failed (no answer, rejected); 2, the command line is invalid, or
-// what was checked has findings.
+// Exit codes: 0, the command succeeded and a check had no findings; 1, the command failed (no answer, or the
+// request was rejected); 2, the command line is invalid, or a check has findings.
 package main
 
 import (
@@ -17,21 +17,21 @@
 	"sprucelane.example/sprucelane/internal/node"
 )
 
-// The exit codes.
+// Exit codes.
 const (
 	exitOK       = 0
 	exitFailed   = 1
 	exitFindings = 2 // also: the command line is invalid
 )
 
-// options are the options of every command.
+// options holds the options that all commands have.
 type options struct {
 	Output string `short:"o" long:"output" env:"SPRUCELANECTL_OUTPUT" choice:"text" choice:"json" default:"text" description:"form of the output"`
 }
 
 func main() { os.Exit(run(os.Args[1:], os.Stdout, os.Stderr)) }
 
-// run executes a command line and gives the exit code.
+// run executes a command line and returns the exit code.
 func run(arguments []string, out, errOut io.Writer) int {
 	common := &options{}
 	parser := flags.NewNamedParser("sprucelanectl", flags.HelpFlag|flags.PassDoubleDash)
@@ -39,7 +39,7 @@
 		"1 it could not be done (no answer, refused); " +
 		"2 the command line can't be used, or what was checked has findings."
 	if _, err := parser.AddGroup("Common options", "", common); err != nil {
-		panic(err) // a programming error: wrong tags of options
+		panic(err) // a programming error: invalid struct tags of options
 	}
 	printer := &printer{out: out, errOut: errOut, options: common}
 	addSettings(parser, printer)
@@ -51,7 +51,7 @@
 	return report(err, printer)
 }
 
-// report prints an error and gives the exit code.
+// report prints an error, if any, and returns the exit code for it.
 func report(err error, printer *printer) int {
 	if err == nil {
 		return exitOK
@@ -77,7 +77,8 @@
 	return exitFailed
 }
 
-// add adds a command under a parent. An error is a programming error: wrong tags of data, or a name twice.
+// add adds a command to its parent. It panics on an error, which is a programming error: invalid struct tags of
+// data, or a duplicate name.
 func add(parent *flags.Command, name, short string, data any) *flags.Command {
 	command, err := parent.AddCommand(name, short, short, data)
 	if err != nil {
--- a/cmd/sprucelanectl/main_test.go
+++ b/cmd/sprucelanectl/main_test.go
@@ -13,7 +13,7 @@
 	"sprucelane.example/sprucelane/coord/slots"
 )
 
-const goodSettings = `node-name=front-huron-1
+const validSettings = `node-name=front-huron-1
 role=gateway
 machine-class=front
 ip=10.1.0.14
@@ -22,21 +22,21 @@
 seeds=10.1.0.14:8683,10.2.0.22:8683
 `
 
-// result is the outcome of one call of the program.
+// result holds the exit code and output of one call of the program.
 type result struct {
 	code   int
 	out    string
 	errOut string
 }
 
-// call runs a command line.
+// call runs the program with a command line.
 func call(arguments ...string) result {
-	var out, problems bytes.Buffer
-	code := run(arguments, &out, &problems)
-	return result{code, out.String(), problems.String()}
+	var out, errOut bytes.Buffer
+	code := run(arguments, &out, &errOut)
+	return result{code, out.String(), errOut.String()}
 }
 
-// file writes a temporary file and gives its path.
+// file writes a temporary file and returns its path.
 func file(t *testing.T, name, text string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), name)
@@ -47,7 +47,7 @@
 }
 
 func TestCommandLine(t *testing.T) {
-	Convey("Help is printed and is no failure", t, func() {
+	Convey("--help prints the usage and exits with 0", t, func() {
 		for _, arguments := range [][]string{{"--help"}, {"settings", "check", "--help"}} {
 			got := call(arguments...)
 			So(got.code, ShouldEqual, exitOK)
@@ -66,11 +66,11 @@
 
 func TestDiskVerify(t *testing.T) {
 	folder := t.TempDir()
-	Convey("A folder without a store can't be verified", t, func() {
+	Convey("Verifying a folder without a store fails", t, func() {
 		So(call("disk", "verify", folder).code, ShouldEqual, exitFailed)
 		So(call("disk", "verify", filepath.Join(folder, "none")).code, ShouldEqual, exitFailed)
 	})
-	Convey("A whole store is said to be, a damaged one is named by file and offset", t, func() {
+	Convey("An intact store is reported as such, and each damage is reported with file and offset", t, func() {
 		store, _, err := slots.Open(slots.Directory(folder), slots.Options{})
 		So(err, ShouldBeNil)
 		So(store.Append([]byte("first")), ShouldBeNil)
@@ -94,18 +94,19 @@
 		So(result.Findings, ShouldNotBeEmpty)
 		So(result.Findings[0].Place, ShouldContainSubstring, "log-")
 
-		So(call("disk", "verify", "--corrupt", folder).code, ShouldEqual, exitFailed) // nothing was kept yet
+		So(call("disk", "verify", "--corrupt", folder).code, ShouldEqual, exitFailed) // no corrupt log has been kept yet
 		So(slots.Copy(slots.Directory(folder), slots.Options{}, replica.CorruptPrefix, 1<<20), ShouldBeNil)
 		So(slots.Wipe(slots.Directory(folder), slots.Options{}), ShouldBeNil)
-		So(call("disk", "verify", folder).code, ShouldEqual, exitFailed) // it is empty
+		So(call("disk", "verify", folder).code, ShouldEqual, exitFailed) // the store is empty
 		got = call("disk", "verify", "--corrupt", folder)
 		So(got.code, ShouldEqual, exitFindings)
 		So(got.out, ShouldContainSubstring, "corrupt-log-")
 	})
 }
 
-// TestConfigCheckOfNoJSON names the file and the position, and no name that is ours.
-func TestConfigCheckOfNoJSON(t *testing.T) {
+// An error in the JSON syntax is reported with the file and the position, and without the name that the schema check
+// uses internally.
+func TestConfigCheckInvalidJSON(t *testing.T) {
 	Convey("Input that isn't JSON", t, func() {
 		path := file(t, "broken.json", "{no json")
 		got := call("config", "check", path)
@@ -116,13 +117,13 @@
 }
 
 func TestSettingsCheck(t *testing.T) {
-	good, bad := file(t, "good.conf", goodSettings), file(t, "bad.conf", "ip=here\n")
-	Convey("A valid file is said to be", t, func() {
+	good, bad := file(t, "good.conf", validSettings), file(t, "bad.conf", "ip=here\n")
+	Convey("A valid file is reported as valid", t, func() {
 		got := call("settings", "check", good)
 		So(got.code, ShouldEqual, exitOK)
 		So(got.out, ShouldContainSubstring, "valid, of front-huron-1 in the role gateway")
 	})
-	Convey("All faults are named, as text and as JSON", t, func() {
+	Convey("All errors are reported, as text and as JSON", t, func() {
 		got := call("settings", "check", bad)
 		So(got.code, ShouldEqual, exitFindings)
 		So(got.out, ShouldContainSubstring, `bad.conf:1: ip: "here" is no IP address`)
--- a/cmd/sprucelanectl/printer.go
+++ b/cmd/sprucelanectl/printer.go
@@ -11,11 +11,11 @@
 // printer writes the output of commands, as text or as JSON.
 type printer struct {
 	out     io.Writer
-	errOut  io.Writer // why a command failed
+	errOut  io.Writer // receives the reason why a command failed
 	options *options
 }
 
-// print writes a value as JSON, or as the text that a function makes of it.
+// print writes value as JSON, or calls text to write it as text, depending on the output option.
 func (p *printer) print(value any, text func(io.Writer)) error {
 	if p.options.Output == "json" {
 		encoder := json.NewEncoder(p.out)
@@ -32,7 +32,7 @@
 	Findings []finding `json:"findings"`
 }
 
-// finding is node.Finding with JSON names.
+// finding is node.Finding with JSON field names.
 type finding struct {
 	Place string `json:"place"`
 	Text  string `json:"text"`
@@ -41,8 +41,8 @@
 // findings prints the result of a check with findings.
 func (p *printer) findings(list node.Findings) {
 	result := checkResult{Findings: make([]finding, 0, len(list))}
-	for _, one := range list {
-		result.Findings = append(result.Findings, finding(one))
+	for _, f := range list {
+		result.Findings = append(result.Findings, finding(f))
 	}
 	_ = p.print(result, func(out io.Writer) { fmt.Fprintln(out, list.Error()) })
 }
--- a/cmd/sprucelanectl/retire.go
+++ b/cmd/sprucelanectl/retire.go
@@ -12,7 +12,7 @@
 	"sprucelane.example/sprucelane/internal/controlclient"
 )
 
-// addRetire adds the commands of the group "retire".
+// addRetire adds the command group "retire".
 func addRetire(parser *flags.Parser, printer *printer) {
 	group := add(parser.Command, "retire", "emptying of store machines", &struct{}{})
 	add(group, "start", "ask for a store machine to be emptied", &retireStart{printer: printer})
@@ -29,8 +29,8 @@
 	printer *printer
 }
 
-// Execute asks for a store machine to be drained. The retirement ends when the machine holds nothing that others need,
-// also after the deadline: control logs then that it is late.
+// Execute asks for a store machine to be drained. The retirement ends when the machine holds no data that others need.
+// If that takes longer than the deadline, the retirement continues, and control logs that it is late.
 func (c *retireStart) Execute([]string) error {
 	body, err := json.Marshal(map[string]float64{"deadline-s": c.Deadline})
 	if err != nil {
@@ -56,7 +56,7 @@
 // retirement is the output of both commands.
 type retirement struct {
 	Node  string `json:"node"`
-	State string `json:"state"` // active, or completed: then the machine may be taken away
+	State string `json:"state"` // active, or completed, after which the machine may be removed
 }
 
 // retirement sends a request about a node's retirement and prints the answer.
--- a/cmd/sprucelanectl/settings.go
+++ b/cmd/sprucelanectl/settings.go
@@ -16,7 +16,7 @@
 	} `positional-args:"yes" required:"yes"`
 }
 
-// Execute reports all faults, each with its line and key.
+// Execute reports all errors in the file, each with its line and key.
 func (c *settingsCheck) Execute([]string) error {
 	settings, err := node.LoadFile(c.Arguments.File)
 	if err != nil {
@@ -26,7 +26,7 @@
 		c.Arguments.File, settings.NodeName, settings.Role))
 }
 
-// addSettings adds the commands of the group "settings".
+// addSettings adds the command group "settings".
 func addSettings(parser *flags.Parser, printer *printer) {
 	group := add(parser.Command, "settings", "settings files of processes", &struct{}{})
 	add(group, "check", "check a settings file and name every fault by line and key", &settingsCheck{printer: printer})
--- a/cmd/sprucelanectl/status.go
+++ b/cmd/sprucelanectl/status.go
@@ -17,7 +17,7 @@
 	add(parser.Command, "status", "ask each control process for the version that it knows", &status{printer: printer})
 }
 
-// status is the command "status": it asks each control process by itself.
+// status is the command "status": it calls each control process separately.
 type status struct {
 	Remote  controlOptions `group:"Control options"`
 	printer *printer
@@ -30,13 +30,13 @@
 	Version  uint64  `json:"version"`           // 0: no configuration yet
 	Took     float64 `json:"took-ms"`           // milliseconds
 	Problem  string  `json:"problem,omitempty"` // why there is no answer
-	Redirect bool    `json:"redirected"`        // it redirected to another one, which answered
+	Redirect bool    `json:"redirected"`        // the process redirected to another one, which answered
 }
 
-// statusTimeout bounds the call to one control process, which itself lets a reader wait for up to 0.9 s.
+// statusTimeout bounds the call to one control process, which itself may delay a read by up to 0.9 s.
 const statusTimeout = 2 * time.Second
 
-// Execute fails if no control process answers.
+// Execute prints the status of each control process. It returns an error if none of them answers.
 func (c *status) Execute([]string) error {
 	addresses := c.Remote.addresses()
 	if len(addresses) == 0 {
@@ -45,11 +45,11 @@
 	list := make([]controlStatus, 0, len(addresses))
 	answered := 0
 	for _, address := range addresses {
-		one := askVersion(address)
-		if one.Answered {
+		s := askVersion(address)
+		if s.Answered {
 			answered++
 		}
-		list = append(list, one)
+		list = append(list, s)
 	}
 	err := c.printer.print(list, func(out io.Writer) { writeStatus(out, list) })
 	if err == nil && answered == 0 {
@@ -60,34 +60,34 @@
 
 // askVersion asks one control process for its newest version.
 func askVersion(address string) controlStatus {
-	one := controlStatus{Address: address}
+	s := controlStatus{Address: address}
 	client := controlclient.Client{Addresses: []string{address}, Timeout: statusTimeout}
-	began := time.Now()
-	answer, err := client.Call(context.Background(), controlclient.Request{Method: http.MethodGet, Path: "/config"})
-	one.Took = float64(time.Since(began).Microseconds()) / 1000
+	start := time.Now()
+	response, err := client.Call(context.Background(), controlclient.Request{Method: http.MethodGet, Path: "/config"})
+	s.Took = float64(time.Since(start).Microseconds()) / 1000
 	switch {
 	case controlclient.StatusOf(err) == http.StatusNotFound:
-		one.Answered = true
+		s.Answered = true
 	case err != nil:
-		one.Problem = err.Error()
+		s.Problem = err.Error()
 	default:
-		one.Answered = true
-		one.Version = generationOf(answer.Body)
-		one.Redirect = answer.Address != address
+		s.Answered = true
+		s.Version = generationOf(response.Body)
+		s.Redirect = response.Address != address
 	}
-	return one
+	return s
 }
 
 // writeStatus prints one line for each control process.
 func writeStatus(out io.Writer, list []controlStatus) {
-	for _, one := range list {
+	for _, s := range list {
 		switch {
-		case !one.Answered:
-			fmt.Fprintf(out, "%-22s no answer: %s\n", one.Address, one.Problem)
-		case one.Version == 0:
-			fmt.Fprintf(out, "%-22s no configuration yet (%.1f ms)\n", one.Address, one.Took)
+		case !s.Answered:
+			fmt.Fprintf(out, "%-22s no answer: %s\n", s.Address, s.Problem)
+		case s.Version == 0:
+			fmt.Fprintf(out, "%-22s no configuration yet (%.1f ms)\n", s.Address, s.Took)
 		default:
-			fmt.Fprintf(out, "%-22s version %d (%.1f ms)\n", one.Address, one.Version, one.Took)
+			fmt.Fprintf(out, "%-22s version %d (%.1f ms)\n", s.Address, s.Version, s.Took)
 		}
 	}
 }
