--- a/cmd/sprucelab/deployments.go
+++ b/cmd/sprucelab/deployments.go
@@ -65,16 +65,16 @@
 // rule, too.
 func playDeployments(out io.Writer, first uint64, count, gateways int) (list []comparison, broken int) {
 	for seed := first; seed < first+uint64(count); seed++ {
-		s := emulator.Drawn(seed, gateways)
-		r, err := emulator.Play(s)
+		s := emulator.RandomScenario(seed, gateways)
+		r, err := emulator.Simulate(s)
 		if err != nil {
 			broken++
-			small := emulator.Minimise(s, 100, func(s emulator.Scenario) bool { _, err := emulator.Play(s); return err != nil })
+			small := emulator.Minimise(s, 100, func(s emulator.Scenario) bool { _, err := emulator.Simulate(s); return err != nil })
 			fmt.Fprintf(out, "%v\n  it takes no more than %s\n", err, small.Brief())
 			continue
 		}
 		s.Plain = true
-		p, err := emulator.Play(s)
+		p, err := emulator.Simulate(s)
 		if err != nil { // what breaks a rule serves nothing that counts
 			p = emulator.Result{}
 		}
--- a/cmd/sprucelab/sim.go
+++ b/cmd/sprucelab/sim.go
@@ -52,7 +52,7 @@
 				{"members", func() { s.Members = members }},
 				{"load", func() { s.Load = load }},
 				{"rooms", func() { s.Rooms = rooms }},
-				{"once", func() { s.Once = once }},
+				{"once", func() { s.OneTimeShare = once }},
 			} {
 				if deployment == "" || cmd.Flags().Changed(f.name) { // a deployment overrides defaults, not flags that were given
 					f.set()
@@ -62,7 +62,7 @@
 				return cli.ExitError{Code: cli.ExitUsage, Err: err}
 			}
 			start := time.Now()
-			r, err := emulator.Play(s)
+			r, err := emulator.Simulate(s)
 			if broken := (*emulator.Broken)(nil); err != nil && !errors.As(err, &broken) {
 				return cli.ExitError{Code: cli.ExitUsage, Err: err}
 			}
@@ -74,7 +74,7 @@
 			}
 			fmt.Fprintf(out, "SIM seed=%d share=%.4f tries=%d served=%d refused=%d failed=%d lost=%d sends=%d "+
 				"beyond=%.4f dials=%d told=%d most_heard=%d peak_cold=%.2f digest=%s\n", seed, r.Share(), r.Tries, r.Served,
-				r.Refused, r.Failed, r.Lost, r.Sends, r.Beyond/max(r.Offered, 1e-9), r.Dials, r.Told, r.MostHeard, r.PeakCold, r.Digest)
+				r.Refused, r.Failed, r.Lost, r.Sends, r.BeyondQuota/max(r.Offered, 1e-9), r.Dials, r.PeerDatagrams, r.PeakReceived, r.PeakCold, r.Digest)
 			fmt.Fprintf(cmd.ErrOrStderr(), "%v of virtual time in %v\n", length, time.Since(start).Round(time.Millisecond))
 			return err
 		},
@@ -97,18 +97,18 @@
 // addTroubles adds single faults and those of a script to a scenario.
 func addTroubles(s *emulator.Scenario, troubles []string, script string) error {
 	for _, text := range troubles {
-		t, err := emulator.ParseTrouble(text)
+		t, err := emulator.ParseFault(text)
 		if err != nil {
 			return fmt.Errorf("trouble: %w", err)
 		}
-		s.Troubles = append(s.Troubles, t)
+		s.Faults = append(s.Faults, t)
 	}
 	if script != "" {
 		list, err := faults.Find(script)
 		if err != nil {
 			return err
 		}
-		s.Troubles = append(s.Troubles, list...)
+		s.Faults = append(s.Faults, list...)
 	}
 	return nil
 }
--- a/internal/emulator/deployment_test.go
+++ b/internal/emulator/deployment_test.go
@@ -18,22 +18,22 @@
 	return string(text)
 }
 
-// Both deployments that the gateway serves: without troubles the value is served, and under the troubles that their
-// operators have seen no rule is broken, by the figures of each deployment.
+// With the figures of both deployments that the gateway serves, the value is served where there are no faults, and no
+// rule is broken under the faults that the deployments' operators have seen.
 func TestDeploymentsOfBothOperators(t *testing.T) {
 	for _, name := range []string{"lakeshore", "fraser-valley"} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			s, err := ReadDeployment([]byte(deployment(t, name)), 1, 12*second)
 			require.NoError(t, err)
-			calm, err := Play(s)
+			calm, err := Simulate(s)
 			require.NoError(t, err)
 			t.Logf("calm %.3f, refused %d of %d", calm.Share(), calm.Refused, calm.Tries)
 			assert.Greater(t, calm.Share(), 0.9)
-			for _, trouble := range []Trouble{{At: 2 * second, For: 6 * second, Kind: Slow, Part: 1, Size: 2.4}, {At: 2 * second, For: 9 * second, Kind: Shrink, Part: 0.4},
-				{At: 2 * second, For: 3 * second, Kind: Stop, Part: 0.3}, {At: 2 * second, For: 6 * second, Kind: Drain, Part: 0.2}, {At: 2 * second, For: 6 * second, Kind: Restart, Part: 1}} {
-				s.Troubles = []Trouble{trouble}
-				_, err := Play(s)
+			for _, fault := range []Fault{{At: 2 * second, For: 6 * second, Kind: Slow, Share: 1, Size: 2.4}, {At: 2 * second, For: 9 * second, Kind: Shrink, Share: 0.4},
+				{At: 2 * second, For: 3 * second, Kind: Stop, Share: 0.3}, {At: 2 * second, For: 6 * second, Kind: Drain, Share: 0.2}, {At: 2 * second, For: 6 * second, Kind: Restart, Share: 1}} {
+				s.Faults = []Fault{fault}
+				_, err := Simulate(s)
 				require.NoError(t, err)
 			}
 		})
@@ -41,7 +41,7 @@
 }
 
 // The error of an invalid file names the key.
-func TestDeploymentFilesThatCannotBe(t *testing.T) {
+func TestInvalidDeploymentFiles(t *testing.T) {
 	good := deployment(t, "fraser-valley")
 	for want, change := range map[string][2]string{
 		"spread_out":           {`"spread"`, `"spread_out"`},
@@ -65,7 +65,7 @@
 	}
 }
 
-// Where members warm up by work, too, one that gets no requests warms up by time alone.
+// Where members warm up by work as well as by time, a member without requests warms up by time alone.
 func TestMembersWarmByWork(t *testing.T) {
 	e := NewEngine(1)
 	m := &member{engine: e, id: 1, rng: e.Stream("m"), spec: MemberSpec{Cores: 1, Speed: 1, Queue: 9, Work: 100 * time.Millisecond, ColdFrom: 0.5,
@@ -82,8 +82,8 @@
 	assert.InDelta(t, 0.75, m.warmth(), 0.01)
 }
 
-// Load reports lag by Report.Delay.
-func TestReportsComeLate(t *testing.T) {
+// A load report is used only after Report.Delay.
+func TestLoadReportsAreDelayed(t *testing.T) {
 	s := Platform(1, 1, 1, 0.1, second)
 	s.Settings.LoadReportFields, s.Report = []string{"inflight"}, Report{Every: 100 * time.Millisecond, Delay: 50 * time.Millisecond}
 	r := &run{Scenario: s, engine: NewEngine(1)}
@@ -97,23 +97,23 @@
 	assert.Equal(t, []float32{0}, r.reportedLoad(m))
 }
 
-// Minimise leaves only what a scenario takes to fail.
+// Minimise leaves only what a scenario needs to fail.
 func TestMinimise(t *testing.T) {
-	s := Drawn(1, 6)
-	hang := Trouble{At: second, For: second, Kind: Hang, Part: 0.1}
-	s.Gateways, s.Spread, s.Troubles = 6, []int{2}, []Trouble{{Kind: Pause, Part: 1}, hang, {Kind: Drain, Part: 1}}
+	s := RandomScenario(1, 6)
+	hang := Fault{At: second, For: second, Kind: Hang, Share: 0.1}
+	s.Gateways, s.Spread, s.Faults = 6, []int{2}, []Fault{{Kind: Pause, Share: 1}, hang, {Kind: Drain, Share: 1}}
 	plays := 0
 	small := Minimise(s, 200, func(s Scenario) bool {
 		plays++
-		for _, t := range s.Troubles {
+		for _, t := range s.Faults {
 			if t == hang && s.Members >= 3 {
 				return true
 			}
 		}
 		return false
 	})
-	assert.Equal(t, []Trouble{hang}, small.Troubles)
-	assert.Equal(t, 2, small.Gateways, "sets of two need them")
+	assert.Equal(t, []Fault{hang}, small.Faults)
+	assert.Equal(t, 2, small.Gateways, "sets of two need two gateways")
 	assert.Less(t, small.Members, 6)
 	assert.LessOrEqual(t, plays, 200)
 	assert.Contains(t, small.Brief(), "trouble=hang:1s:1s:0.10")
--- a/internal/emulator/deployments_test.go
+++ b/internal/emulator/deployments_test.go
@@ -10,30 +10,30 @@
 	"sprucelane.example/sprucelane/policy"
 )
 
-// No rule is broken in any deployment that is drawn at random, with its troubles, load and clients. The seeds are fixed;
-// make measure-deployments plays many more, and compares them with the plain policy.
+// No rule is broken in deployments that are drawn at random, with their faults, load and clients. The seeds are fixed;
+// make measure-deployments runs many more, and compares them with the plain policy.
 func TestDrawnDeploymentsKeepTheRules(t *testing.T) {
 	for seed := uint64(1); seed <= 20; seed++ {
-		r, err := Play(Drawn(seed, 6))
+		r, err := Simulate(RandomScenario(seed, 6))
 		require.NoError(t, err)
 		assert.Equal(t, r.Tries, r.Served+r.Refused+r.Failed+r.Lost, "seed %d", seed)
 	}
 }
 
-// The plain policy keeps the rules, too, so that the two can be compared by what they serve.
+// The plain policy breaks no rule either, so that the two policies can be compared by what they serve.
 func TestPlainPolicyKeepsTheRules(t *testing.T) {
 	for seed := uint64(1); seed <= 5; seed++ {
-		s := Drawn(seed, 4)
+		s := RandomScenario(seed, 4)
 		s.Plain = true
-		_, err := Play(s)
+		_, err := Simulate(s)
 		require.NoError(t, err)
 	}
 }
 
-// A request that a full member rejects has not run. The model once counted it as run, so that the checker reported a
-// request that isn't idempotent to have run twice.
-func TestTurnedAwayHasNotRun(t *testing.T) {
-	r := bare(1)
+// A request that a full member rejects has not run. Counting it as run made the checker report that a request that
+// isn't idempotent had run twice.
+func TestRejectedRequestHasNotRun(t *testing.T) {
+	r := newIdleRun(1)
 	full, free := &member{engine: r.engine, up: true, spec: r.Spec}, &member{engine: r.engine, up: true, spec: r.Spec}
 	full.busy = full.spec.Cores
 	for range full.spec.Queue {
@@ -49,9 +49,9 @@
 	assert.ErrorContains(t, r.checker.Err(), referee.UnsafeTwice)
 }
 
-// A gateway's connections end with its process, and so do its attempts, whether or not their requests were answered.
-func TestNothingIsOutOfAGatewayThatDied(t *testing.T) {
-	r := bare(1)
+// When a gateway's process ends, its connections and attempts end with it, whether or not their requests were answered.
+func TestKilledGatewayHasNoAttemptsInFlight(t *testing.T) {
+	r := newIdleRun(1)
 	g := &gateway{run: r, up: true, pending: map[policy.RequestID]*pendingRequest{}}
 	for id, answered := range []bool{false, true} {
 		q := &request{}
--- a/internal/emulator/emulator_test.go
+++ b/internal/emulator/emulator_test.go
@@ -29,7 +29,7 @@
 	assert.Equal(t, Origin+5*second, e.Now())
 }
 
-// One part's random numbers don't depend on what another draws.
+// The random numbers of one part don't depend on the draws of another.
 func TestStreamsAreIndependent(t *testing.T) {
 	a, b := NewEngine(7), NewEngine(7)
 	a.Stream("clients").Uint64()
@@ -38,22 +38,22 @@
 	assert.NotEqual(t, a.Stream("members").Uint64(), NewEngine(8).Stream("members").Uint64())
 }
 
-// troubled gives a scenario with several kinds of trouble.
-func troubled(seed uint64) Scenario {
+// faultyScenario returns a scenario with several kinds of faults.
+func faultyScenario(seed uint64) Scenario {
 	s := Platform(seed, 3, 12, 0.5, 40*second)
-	s.Troubles = []Trouble{{At: 5 * second, For: 10 * second, Kind: Hang, Part: 0.2}, {At: 12 * second, For: 6 * second, Kind: Stop, Part: 0.2},
-		{At: 8 * second, For: 20 * second, Kind: Pause, Part: 0.3}, {At: 20 * second, For: 8 * second, Kind: Drain, Part: 0.2},
-		{At: 25 * second, For: 9 * second, Kind: Restart, Part: 1}}
+	s.Faults = []Fault{{At: 5 * second, For: 10 * second, Kind: Hang, Share: 0.2}, {At: 12 * second, For: 6 * second, Kind: Stop, Share: 0.2},
+		{At: 8 * second, For: 20 * second, Kind: Pause, Share: 0.3}, {At: 20 * second, For: 8 * second, Kind: Drain, Share: 0.2},
+		{At: 25 * second, For: 9 * second, Kind: Restart, Share: 1}}
 	return s
 }
 
 // The same scenario gives the same run, and no rule is broken in it.
-func TestTheSameSeedIsTheSameRun(t *testing.T) {
+func TestSameScenarioGivesSameRun(t *testing.T) {
 	seen := map[string]bool{}
 	for seed := range uint64(6) {
-		a, err := Play(troubled(seed))
+		a, err := Simulate(faultyScenario(seed))
 		require.NoError(t, err)
-		b, err := Play(troubled(seed))
+		b, err := Simulate(faultyScenario(seed))
 		require.NoError(t, err)
 		assert.Equal(t, a, b)
 		assert.False(t, seen[a.Digest])
@@ -65,47 +65,47 @@
 	}
 }
 
-func TestCalmDayIsServed(t *testing.T) {
-	r, err := Play(Platform(1, 3, 12, 0.4, 20*second))
+func TestValueIsServedWithoutFaults(t *testing.T) {
+	r, err := Simulate(Platform(1, 3, 12, 0.4, 20*second))
 	require.NoError(t, err)
 	assert.Greater(t, r.Share(), 0.97)
 	assert.Len(t, r.Seconds, 20)
 	assert.Zero(t, r.Lost)
 	empty := Platform(1, 3, 12, 0.4, 20*second)
-	empty.Troubles = []Trouble{{At: 0, For: 30 * second, Kind: Stop, Part: 1}}
-	r, err = Play(empty)
+	empty.Faults = []Fault{{At: 0, For: 30 * second, Kind: Stop, Share: 1}}
+	r, err = Simulate(empty)
 	require.NoError(t, err)
 	assert.Zero(t, r.InTime)
 }
 
-// A size that real processes on one machine don't reach.
+// Runs a fleet of a size that real processes on one machine don't reach.
 func TestManyGateways(t *testing.T) {
 	s := Platform(1, 40, 200, 0.5, 4*second)
-	s.Troubles = []Trouble{{At: second, For: 5 * second, Kind: Hang, Part: 0.1}}
-	r, err := Play(s)
+	s.Faults = []Fault{{At: second, For: 5 * second, Kind: Hang, Share: 0.1}}
+	r, err := Simulate(s)
 	require.NoError(t, err)
 	assert.Greater(t, r.Tries, 4000)
 	assert.Greater(t, r.Share(), 0.6)
 }
 
-// bare gives a run in which no event is scheduled.
-func bare(seed uint64) *run {
+// newIdleRun returns a run in which no event is scheduled.
+func newIdleRun(seed uint64) *run {
 	s := Platform(seed, 1, 2, 0.1, second)
 	return &run{Scenario: s, engine: NewEngine(seed), requests: map[policy.RequestID]*request{}, partitionedRoom: -1, digest: sha256.New(),
 		checker: referee.New(s.Settings, seed, Origin)}
 }
 
-// The model reports what happens to the checker, so that a broken rule is found, with the request's events.
+// The model reports its events to the checker, so that a broken rule is found and listed with the request's events.
 func TestBrokenRulesAreFound(t *testing.T) {
 	for rule, do := range map[string]func(r *run, g *gateway, q *request){
 		referee.TwoAnswers: func(_ *run, g *gateway, q *request) {
 			l := &pendingRequest{request: q}
-			g.answer(l, "served")
-			g.answer(l, "refused")
+			g.recordAnswer(l, "served")
+			g.recordAnswer(l, "refused")
 		},
 		referee.LateAnswer: func(r *run, g *gateway, q *request) {
 			r.engine.now = q.Deadline + second
-			g.answer(&pendingRequest{request: q}, "failed")
+			g.recordAnswer(&pendingRequest{request: q}, "failed")
 		},
 		referee.NoAnswer: func(r *run, _ *gateway, q *request) { r.requests[q.ID] = q; r.checkEnd() },
 		referee.UnsafeTwice: func(r *run, g *gateway, q *request) {
@@ -117,7 +117,7 @@
 			info := r.members[0].info()
 			info.State = policy.Draining
 			g.listed, g.idleConns = map[policy.ServerID]bool{}, map[policy.ServerID][]Time{}
-			g.noteListed(info)
+			g.updateListed(info)
 			r.engine.now += second
 			r.arriveAtMember(g, r.members[0], q)
 		},
@@ -128,12 +128,12 @@
 			}
 		},
 	} {
-		r := bare(5)
+		r := newIdleRun(5)
 		for i := range 2 {
 			r.members = append(r.members, &member{engine: r.engine, spec: r.Spec, id: policy.ServerID(i + 1), up: true, rng: r.engine.Stream("m")})
 		}
 		q := &request{arrivedAt: r.engine.now}
-		q.first, q.ID, q.Deadline = q, 1, r.engine.now+second
+		q.original, q.ID, q.Deadline = q, 1, r.engine.now+second
 		r.checker.Note(r.engine.now, &q.Request, "taken")
 		do(r, &gateway{run: r}, q)
 		require.Error(t, r.checker.Err(), rule)
@@ -180,15 +180,15 @@
 	assert.Len(t, ends, 6)
 }
 
-func TestScenariosThatCannotBe(t *testing.T) {
+func TestInvalidScenarios(t *testing.T) {
 	for key, spoil := range map[string]func(*Scenario){"gateways": func(s *Scenario) { s.Gateways = 0 }, "members": func(s *Scenario) { s.Members = 0 },
 		"spec": func(s *Scenario) { s.Spec.Cores = 0 }, "load": func(s *Scenario) { s.Load = 0 }, "accounts": func(s *Scenario) { s.Accounts = 0 },
 		"length": func(s *Scenario) { s.Length = 0 }, "classes": func(s *Scenario) { s.Settings.Classes = nil },
-		"troubles[0]": func(s *Scenario) { s.Troubles = []Trouble{{Kind: "flood", Part: 1}} }} {
+		"troubles[0]": func(s *Scenario) { s.Faults = []Fault{{Kind: "flood", Share: 1}} }} {
 		s := Platform(1, 1, 1, 0.5, second)
 		s.Settings.Gateways = 1
 		spoil(&s)
-		_, err := Play(s)
+		_, err := Simulate(s)
 		assert.ErrorContains(t, err, key)
 	}
 }
--- a/internal/emulator/engine.go
+++ b/internal/emulator/engine.go
@@ -11,8 +11,8 @@
 // Time is a reading of a run's clock.
 type Time = time.Duration
 
-// Origin is the clock's reading when a run begins. It isn't 0, as 0 means "long ago" in the start times that package
-// policy is given.
+// Origin is the clock's reading when a run begins. It isn't 0, because 0 means "long ago" in the start times that are
+// passed to package policy.
 const Origin = time.Hour
 
 // Engine is a discrete-event simulator: a clock and a heap of events. Events that are due at the same time run in the
@@ -24,13 +24,14 @@
 	events events
 }
 
-// NewEngine gives an engine whose clock reads Origin.
+// NewEngine returns an engine whose clock reads Origin.
 func NewEngine(seed uint64) *Engine { return &Engine{now: Origin, seed: seed} }
 
-// Now gives the clock's reading.
+// Now returns the clock's reading.
 func (e *Engine) Now() Time { return e.now }
 
-// After schedules do in d. Where d isn't above 0, do runs at the present time, after the events that are due then.
+// After schedules do to run in d. Where d is 0 or negative, do runs at the present time, after the events that are
+// already due.
 func (e *Engine) After(d time.Duration, do func()) {
 	e.serial++
 	heap.Push(&e.events, event{e.now + max(d, 0), e.serial, do})
@@ -46,22 +47,22 @@
 	e.now = until
 }
 
-// Stream gives the random numbers of one part of the model, by its name. A part that draws more or less leaves the
-// others' draws as they are.
+// Stream returns the random number stream of one part of the model, by the part's name. The streams are independent: a
+// change in the number of draws of one part doesn't change the draws of the others.
 func (e *Engine) Stream(part string) *rand.Rand {
 	h := fnv.New64a()
 	_, _ = io.WriteString(h, part) // a hash.Hash returns no error
 	return rand.New(rand.NewPCG(e.seed, h.Sum64()))
 }
 
-// event is a scheduled call. serial orders the events of one time.
+// event is a scheduled call. serial orders events that are due at the same time.
 type event struct {
 	at     Time
 	serial uint64
 	do     func()
 }
 
-// events is a heap by due time (container/heap).
+// events is a heap (container/heap) ordered by due time, then by serial.
 type events []event
 
 func (e events) Len() int { return len(e) }
--- a/internal/emulator/gateway.go
+++ b/internal/emulator/gateway.go
@@ -9,11 +9,15 @@
 	"sprucelane.example/sprucelane/policy"
 )
 
-// gateway is a gateway's process: the policy.Host of its balancer, and the exchange of loads between gateways
-// (internal/daemon/inflight) over the model's links. Its assumptions: decisions take no time; a message takes the link's
-// delay and up to half as much again by chance; datagrams beyond the intake of a second (Settings.PeerMessageRate)
-// are dropped; a connection that has served is kept for idleConnTimeout; a gateway that is killed loses the requests
-// that it has, and the front knows it to be down after Scenario.Notice.
+// gateway models a gateway's process: it is the policy.Host of its balancer, and exchanges loads with the other
+// gateways (internal/daemon/inflight) over the model's links. The model assumes:
+//
+//   - Decisions take no time.
+//   - A message takes the link's delay plus a random part of up to half of that delay.
+//   - Datagrams beyond Settings.PeerMessageRate in a second are dropped.
+//   - A connection whose request was answered is kept idle for idleConnTimeout.
+//   - A gateway that is killed loses its pending requests, and the front knows that it is down after
+//     Scenario.DetectionDelay.
 type gateway struct {
 	run         *run
 	index       int
@@ -24,22 +28,22 @@
 
 	room          int
 	recovery      *recovery.Recovery
-	loads         *inflight.Tracker // of gateways in flight at members; nil: the fleet is small
+	loads         *inflight.Tracker // in-flight attempts of all gateways; nil where the fleet is too small to need it
 	listed        map[policy.ServerID]bool
-	listChanged   bool                       // since loads was last given the list
-	idleConns     map[policy.ServerID][]Time // since when each idle connection is
-	received      int                        // datagrams since receivedSince
+	listChanged   bool                       // since the last call of updateLoads
+	idleConns     map[policy.ServerID][]Time // when each idle connection became idle
+	received      int                        // datagrams received since receivedSince
 	downSince     Time
 	pausedUntil   Time
-	unroutedUntil Time          // the front sends it no clients
-	clockOffset   time.Duration // of its clock, ahead of the members'
+	unroutedUntil Time          // the front sends it no requests until then
+	clockOffset   time.Duration // how far its clock is ahead of the members'
 	noListsUntil  Time
-	receivedSince Time // start of the second of the intake
+	receivedSince Time // start of the second that received counts
 }
 
-// firstStarts is how long after the start of a run no time to full service is noted: Result.Took is of gateways that
-// start while the others serve.
-const firstStarts = 5 * time.Second
+// startupPeriod is the time at the start of a run in which no time to full service is recorded, because
+// Result.FullServiceTimes is about gateways that start while the others serve.
+const startupPeriod = 5 * time.Second
 
 // idleConnTimeout is how long an idle connection is kept.
 const idleConnTimeout = 20 * time.Second
@@ -47,14 +51,14 @@
 // connectTimeout is how long an attempt waits for its connection.
 const connectTimeout = 250 * time.Millisecond
 
-// pendingRequest is a request that has no final answer, or attempts in flight.
+// pendingRequest is a request without a final answer, or with attempts in flight.
 type pendingRequest struct {
 	request  *request
-	sent     int                         // attempts
-	attempts map[int]func(policy.Ending) // those in flight, by number: what ends one
+	sent     int                         // attempts sent so far
+	attempts map[int]func(policy.Ending) // attempts in flight, by number; the function ends the attempt
 }
 
-// boot starts a new incarnation, which knows nothing but the server list.
+// boot starts a new incarnation, whose only knowledge is the server list.
 func (g *gateway) boot() {
 	set := g.run.Settings
 	set.Self, set.Gateways, set.Zone = g.index, g.run.Gateways, g.room
@@ -65,7 +69,7 @@
 	} else {
 		gateway, err := policy.New(set, seed)
 		if err != nil {
-			panic(err) // the scenario was checked
+			panic(err) // unreachable: Scenario.Check has validated the settings
 		}
 		balancer = gateway
 	}
@@ -78,13 +82,13 @@
 	g.loads = inflight.New(g.index, g.run.Gateways, set.PeerMessageRate)
 	var list []policy.ServerInfo
 	for _, m := range g.run.members {
-		m.checked.Told(g.index, g.run.engine.now, true) // a new incarnation gets the whole list
+		m.checked.Told(g.index, g.run.engine.now, true) // a new incarnation receives the full list
 		if m.state == policy.Departed {
 			m.checked.Told(g.index, g.run.engine.now, false)
 			continue
 		}
 		list = append(list, g.withOwnClock(m.info()))
-		g.noteListed(m.info())
+		g.updateListed(m.info())
 	}
 	balancer.Servers(g.run.engine.now, policy.ListFull, list)
 	if g.loads != nil {
@@ -92,7 +96,7 @@
 	}
 }
 
-// withOwnClock converts an entry's time of start to this gateway's clock, which the model runs at the members' time.
+// withOwnClock shifts an entry's start time by this gateway's clock offset. The model itself runs at the members' time.
 func (g *gateway) withOwnClock(info policy.ServerInfo) policy.ServerInfo {
 	if info.StartedAt != 0 {
 		info.StartedAt = max(1, info.StartedAt-g.clockOffset)
@@ -100,8 +104,8 @@
 	return info
 }
 
-// noteListed takes in an entry of a server list.
-func (g *gateway) noteListed(info policy.ServerInfo) {
+// updateListed handles an entry of a server list.
+func (g *gateway) updateListed(info policy.ServerInfo) {
 	takes := info.State == policy.Ready
 	g.run.members[info.ID-1].checked.Told(g.index, g.run.engine.now, takes)
 	if takes {
@@ -113,11 +117,11 @@
 	}
 }
 
-// updateLoads gives the exchange of loads the current server list.
+// updateLoads passes the current server list to the exchange of loads.
 func (g *gateway) updateLoads() {
 	g.listChanged = false
 	var list []inflight.Member
-	for _, m := range g.run.members { // not over g.listed: the order of a map differs from run to run
+	for _, m := range g.run.members { // not over g.listed, because the iteration order of a map differs from run to run
 		if g.listed[m.id] {
 			list = append(list, inflight.Member{ID: m.id, Instance: fmt.Sprintf("member-%d", m.id)})
 		}
@@ -125,7 +129,7 @@
 	g.loads.SetMembers(list)
 }
 
-// exchangeLoads sends the own load to peers, and gives the balancer the load of the others.
+// exchangeLoads sends this gateway's load to peers, and passes the load of the others to the balancer.
 func (g *gateway) exchangeLoads() {
 	now := g.run.engine.now
 	if g.listChanged {
@@ -140,7 +144,7 @@
 	g.after(g.loads.Interval(), g.exchangeLoads)
 }
 
-// restart kills the gateway, and starts it again after a while.
+// restart kills the gateway, and starts it again after the given time.
 func (g *gateway) restart(after time.Duration) {
 	if !g.up {
 		return // a start is already scheduled
@@ -152,14 +156,15 @@
 			l.request.Lost = true
 			g.run.Lost++
 		}
-		for range l.attempts { // also of requests that were answered while an attempt was in flight
+		for range l.attempts { // includes requests that were answered while an attempt was in flight
 			g.run.checker.Holds(&l.request.Request, -1)
 		}
 	}
 	g.run.engine.After(after, g.boot)
 }
 
-// stall pauses the gateway's process for d. Requests whose deadline passes meanwhile are lost, which breaks no rule.
+// stall pauses the gateway's process for d. Requests whose deadline passes during the pause are counted as lost, which
+// breaks no rule.
 func (g *gateway) stall(d time.Duration) {
 	g.pausedUntil = g.run.engine.now + d
 	for _, l := range g.pending {
@@ -175,19 +180,19 @@
 	}
 }
 
-// receiveList takes in an update of the server list.
+// receiveList handles an update of the server list.
 func (g *gateway) receiveList(info policy.ServerInfo) {
 	if left := g.pausedUntil - g.run.engine.now; left > 0 {
 		g.after(left, func() { g.receiveList(info) })
 		return
 	}
-	g.event()
+	g.beforeEvent()
 	g.recovery.Received(recovery.Discovery)
-	g.noteListed(info)
+	g.updateListed(info)
 	g.balancer.Servers(g.run.engine.now, policy.ListChanges, []policy.ServerInfo{g.withOwnClock(info)})
 }
 
-// receiveRequest takes in a client's request.
+// receiveRequest handles a client's request.
 func (g *gateway) receiveRequest(q *request) {
 	if left := g.pausedUntil - g.run.engine.now; left > 0 {
 		if g.countMissed(q); q.Lost {
@@ -207,7 +212,7 @@
 	g.run.checker.Note(g.run.engine.now, &q.Request, "taken")
 	g.pending[q.ID] = &pendingRequest{request: q, attempts: map[int]func(policy.Ending){}}
 	g.run.record('a', uint64(q.ID), uint64(g.index))
-	g.event()
+	g.beforeEvent()
 	in := q.Request.Request
 	waited, wait := g.recovery.RequestRead(g.run.engine.now, q.Deadline-g.run.engine.now)
 	if in.Deadline -= waited; wait <= 0 {
@@ -217,8 +222,9 @@
 	g.after(wait, func() { g.balancer.Request(g.run.engine.now, in) })
 }
 
-// event precedes the handling of any event: it detects a pause of the process, and follows the return to full service.
-func (g *gateway) event() {
+// beforeEvent must be called before any event is handled. It detects a pause of the process, and tracks the return to
+// full service.
+func (g *gateway) beforeEvent() {
 	if pause := g.recovery.Event(g.run.engine.now); pause > 0 {
 		g.balancer.Resumed(g.run.engine.now, pause)
 	}
@@ -227,13 +233,14 @@
 		first := g.recovery.TimeToFullService() == 0
 		g.recovery.Check(now, recovery.Observation{Members: stats.ListedServers, NearbyReachable: stats.NearbyAlive,
 			Queued: stats.QueuedRequests})
-		if first && g.recovery.TimeToFullService() > 0 && now > Origin+firstStarts {
-			g.run.Took = append(g.run.Took, g.recovery.TimeToFullService()+g.run.Boot)
+		if first && g.recovery.TimeToFullService() > 0 && now > Origin+startupPeriod {
+			g.run.FullServiceTimes = append(g.run.FullServiceTimes, g.recovery.TimeToFullService()+g.run.Boot)
 		}
 	}
 }
 
-// after schedules do for this incarnation of the gateway; where the process is paused then, for when it resumes.
+// after schedules do in d for this incarnation of the gateway. Where the process is paused at that time, do runs when
+// it resumes.
 func (g *gateway) after(d time.Duration, do func()) {
 	incarnation := g.incarnation
 	var happen func()
@@ -241,14 +248,14 @@
 		if left := g.pausedUntil - g.run.engine.now; left > 0 {
 			g.run.engine.After(left, happen)
 		} else if g.up && g.incarnation == incarnation {
-			g.event()
+			g.beforeEvent()
 			do()
 		}
 	}
 	g.run.engine.After(d, happen)
 }
 
-// linkDelay draws the delay of a message.
+// linkDelay draws the one-way delay of a message.
 func (g *gateway) linkDelay() time.Duration {
 	return g.run.Link + time.Duration(g.run.links.Float64()*float64(g.run.Link)/2)
 }
@@ -281,7 +288,7 @@
 			units = l.request.reportedUnits()
 		}
 		if how == policy.Served && !l.request.Final {
-			g.answer(l, "served")
+			g.recordAnswer(l, "served")
 		}
 		g.run.record('e', uint64(id), uint64(how))
 		g.balancer.Outcome(g.run.engine.now, policy.Outcome{ID: id, Attempt: attempt, Server: to,
@@ -302,10 +309,10 @@
 		g.run.Dials++
 		g.run.PeakDials = g.run.peaks[0].count(now, g.run.PeakDials)
 	}
-	g.run.engine.After(g.linkDelay(), func() { // the request reaches the member also where the gateway is killed meanwhile
+	g.run.engine.After(g.linkDelay(), func() { // reaches the member even if the gateway is killed meanwhile
 		g.run.arriveAtMember(g, m, l.request)
 		m.accept(g.run.workSize(l.request), func(how policy.Ending) {
-			// Else its connection has broken, or ended with the incarnation that opened it.
+			// Otherwise the connection has broken, or ended with the incarnation that opened it.
 			if g.incarnation == incarnation && !g.run.unreachable(g, m) {
 				if how != policy.NotConnected && g.listed[to] {
 					g.idleConns[to] = append(g.idleConns[to], g.run.engine.now)
@@ -317,7 +324,7 @@
 	g.after(until-now, func() { end(policy.TimedOut) })
 }
 
-// release forgets a request that has its final answer and no attempt in flight.
+// release removes a request that has its final answer and no attempt in flight.
 func (g *gateway) release(id policy.RequestID, l *pendingRequest) {
 	if l.request.Final && len(l.attempts) == 0 {
 		delete(g.pending, id)
@@ -325,18 +332,18 @@
 	}
 }
 
-// answer gives a request its final answer: served, refused or failed.
-func (g *gateway) answer(l *pendingRequest, how string) {
-	if l.request.Lost { // its client has left
+// recordAnswer records a request's final answer: served, refused or failed.
+func (g *gateway) recordAnswer(l *pendingRequest, recordAnswer string) {
+	if l.request.Lost { // its client no longer waits for an answer
 		l.request.Final = true
 		return
 	}
-	g.run.checker.Answered(g.run.engine.now, &l.request.Request, how)
-	g.run.record('f', uint64(l.request.ID), uint64(how[0]))
-	switch how {
+	g.run.checker.Answered(g.run.engine.now, &l.request.Request, recordAnswer)
+	g.run.record('f', uint64(l.request.ID), uint64(recordAnswer[0]))
+	switch recordAnswer {
 	case "served":
 		g.run.Served++
-		first, target := l.request.first, g.run.Settings.Classes[l.request.Class].LatencyTarget
+		first, target := l.request.original, g.run.Settings.Classes[l.request.Class].LatencyTarget
 		if g.run.engine.now-first.arrivedAt <= target && first.value > 0 && !first.inTime {
 			first.inTime = true
 			g.run.InTime += first.value
@@ -353,7 +360,7 @@
 func (g *gateway) Refuse(id policy.RequestID, wait time.Duration) {
 	if l := g.pending[id]; l != nil && !l.request.Final {
 		g.run.checker.Refused(g.run.engine.now, &l.request.Request)
-		g.answer(l, "refused")
+		g.recordAnswer(l, "refused")
 		g.run.retry(l.request, wait)
 		g.after(0, func() { g.release(id, l) })
 	}
@@ -362,7 +369,7 @@
 // Fail implements policy.Host.
 func (g *gateway) Fail(id policy.RequestID) {
 	if l := g.pending[id]; l != nil && !l.request.Final {
-		g.answer(l, "failed")
+		g.recordAnswer(l, "failed")
 		if g.run.idempotency(l.request) == policy.Idempotent {
 			g.run.retry(l.request, 0)
 		}
@@ -370,7 +377,7 @@
 	}
 }
 
-// Cancel implements policy.Host: the connection is closed, and the member still runs the request.
+// Cancel implements policy.Host. It closes the attempt's connection; the member still runs the request.
 func (g *gateway) Cancel(id policy.RequestID, attempt int) {
 	if l := g.pending[id]; l != nil && l.attempts[attempt] != nil {
 		end := l.attempts[attempt]
@@ -400,18 +407,19 @@
 	if p == g {
 		return
 	}
-	g.run.Told++
-	g.run.PeakTold = g.run.peaks[1].count(g.run.engine.now, g.run.PeakTold)
+	g.run.PeerDatagrams++
+	g.run.PeakPeerDatagrams = g.run.peaks[1].count(g.run.engine.now, g.run.PeakPeerDatagrams)
 	if g.run.losesMessage(g.index, p.index) || g.run.partitioned(g.room, p.room) {
 		return
 	}
-	delay, changed, copies := g.run.disturb(p.index, message)
+	delay, changed, copies := g.run.applyMessageFaults(p.index, message)
 	for range copies {
 		g.run.engine.After(g.linkDelay()+delay, func() { p.receive(g.index, changed) })
 	}
 }
 
-// receive takes in a peer's message, within the intake of a second; where the process is paused, once it resumes.
+// receive handles a peer's message, or drops it where this second's messages exceed Settings.PeerMessageRate. Where the
+// process is paused, it does so once the process resumes.
 func (g *gateway) receive(from int, message []byte) {
 	now := g.run.engine.now
 	if left := g.pausedUntil - now; left > 0 && g.up {
@@ -421,12 +429,12 @@
 	if !g.up {
 		return
 	}
-	g.event()
+	g.beforeEvent()
 	if now-g.receivedSince >= time.Second {
 		g.receivedSince, g.received = now, 0
 	}
 	g.received++
-	g.run.MostHeard = max(g.run.MostHeard, g.received)
+	g.run.PeakReceived = max(g.run.PeakReceived, g.received)
 	if most := g.run.Settings.PeerMessageRate; most > 0 && float64(g.received) > most {
 		g.run.Dropped++
 		return
@@ -438,7 +446,7 @@
 	}
 }
 
-// Watch implements policy.Host: server lists always come.
+// Watch implements policy.Host. It does nothing because every gateway is sent all changes of the server list.
 func (g *gateway) Watch() {}
 
 // Log implements policy.Host.
--- a/internal/emulator/member.go
+++ b/internal/emulator/member.go
@@ -9,10 +9,13 @@
 	"sprucelane.example/sprucelane/policy"
 )
 
-// member is a server with cores and a first-in first-out queue, over several incarnations. Its assumptions: a request
-// takes its work, divided by the core's speed and by the member's warmth when the work begins; a pause delays all
-// requests at the cores; a member that hangs answers neither the requests that it has nor those that arrive; requests
-// that a gateway has given up are worked on all the same.
+// member models a server with cores and a first-in first-out queue, over several incarnations. The model assumes:
+//
+//   - The service time of a request is its work, divided by the core's speed and by the member's warmth when the work
+//     begins.
+//   - A pause delays all requests that are being served.
+//   - A member that hangs answers neither the requests that it has nor those that arrive.
+//   - A member works on a request even after the gateway has given it up.
 type member struct {
 	engine       *Engine
 	spec         MemberSpec
@@ -22,7 +25,7 @@
 	incarnation  int
 	up           bool
 	hung         bool
-	started      Time // of a cold start; 0 means long ago
+	started      Time // time of the last cold start; 0 means long ago
 	state        policy.ServerState
 	busy         int
 	queue        []*job
@@ -31,24 +34,24 @@
 	cell         int
 	meanService  float64       // exponentially weighted mean of service times, in seconds, without queueing
 	reportedLoad []float32     // the load report in its answers, where reports lag (Scenario.Report)
-	workDone     time.Duration // since its start
+	workDone     time.Duration // since the last start
 
-	checked referee.Member // the checker's record of it
+	checked referee.Member // the checker's record of this member
 }
 
 // MemberSpec is the capacity of a member.
 type MemberSpec struct {
 	Cores      int
-	Speed      float64       // of a core, over the speed that Work is stated for
-	Queue      int           // most requests that wait; more are rejected
-	Work       time.Duration // mean of a request on one core
+	Speed      float64       // speed of a core, over the speed that Work is stated for
+	Queue      int           // most requests that wait; further requests are rejected
+	Work       time.Duration // mean work of a request on one core
 	Sigma      float64       // standard deviation of the logarithm of the work
 	ColdFrom   float64       // warmth right after a start, from 0 to 1
-	WarmWithin time.Duration // after a start: the warmth rises evenly to 1
-	WarmWork   time.Duration // work after which it is warm, too; 0: time alone warms it
+	WarmWithin time.Duration // time after a start in which the warmth rises linearly to 1
+	WarmWork   time.Duration // work after which the member is warm even before WarmWithin; 0: only time counts
 }
 
-// Capacity gives the requests a second that a warm member answers.
+// Capacity returns the number of requests that a warm member answers per second.
 func (s MemberSpec) Capacity() float64 { return float64(s.Cores) * s.Speed / s.Work.Seconds() }
 
 // job is a request at a member.
@@ -57,12 +60,13 @@
 	done func(policy.Ending)
 }
 
-// info gives the member's entry in server lists.
+// info returns the member's entry in server lists.
 func (m *member) info() policy.ServerInfo {
 	return policy.ServerInfo{ID: m.id, Zone: m.room, Cell: m.cell, State: m.state, Weight: 1, StartedAt: m.started}
 }
 
-// warmth gives the share of its full capacity that the member has, by the time and the work since its start.
+// warmth returns the member's present capacity as a share of its full capacity, by the time and the work since its
+// start.
 func (m *member) warmth() float64 {
 	if m.started == 0 || m.engine.now-m.started >= m.spec.WarmWithin {
 		return 1
@@ -74,13 +78,13 @@
 	return m.spec.ColdFrom + (1-m.spec.ColdFrom)*progress
 }
 
-// accepts tells whether the member would take a request that arrives now.
+// accepts reports whether the member would accept a request that arrives now.
 func (m *member) accepts() bool {
 	return m.up && (m.hung || m.busy < m.spec.Cores || len(m.queue) < m.spec.Queue)
 }
 
-// accept takes a request whose last byte has arrived. size is its work over the mean. done is called when its answer
-// leaves, and never where the member hangs.
+// accept handles a request whose last byte has arrived. size is its work over the mean. done is called when the answer
+// leaves the member, and never where the member hangs.
 func (m *member) accept(size float64, done func(policy.Ending)) {
 	sigma := m.spec.Sigma
 	factor := math.Exp(sigma*m.rng.NormFloat64() - sigma*sigma/2) // log-normal, of mean 1
@@ -110,7 +114,7 @@
 	}
 }
 
-// finish ends a request's work after left, and later by the pauses that begin meanwhile.
+// finish ends a request's work after left, extended by any pauses that begin meanwhile.
 func (m *member) finish(j *job, incarnation int, left time.Duration) {
 	began := m.engine.now
 	m.engine.After(left, func() {
@@ -127,21 +131,21 @@
 	})
 }
 
-// stop ends the member's process. Requests that it had get no answer.
+// stop ends the member's process. Its requests get no answer.
 func (m *member) stop() {
 	m.up, m.busy = false, 0
 	m.incarnation++
 	m.queue = nil
 }
 
-// start begins a new incarnation, cold.
+// start begins a new incarnation, which is cold.
 func (m *member) start() {
 	m.incarnation++
 	m.up, m.hung, m.busy, m.started, m.queue, m.workDone = true, false, 0, m.engine.now, nil, 0
 	m.checked.Restart()
 }
 
-// hang lets the member take requests and answer none, until resume, after which it has none.
+// hang makes the member accept requests without answering any until resume, which discards them.
 func (m *member) hang() { m.hung = true }
 
 func (m *member) resume() {
--- a/internal/emulator/minimise.go
+++ b/internal/emulator/minimise.go
@@ -7,12 +7,12 @@
 	"time"
 )
 
-// How is a failing scenario made smaller, so that what is left is what it takes to fail? The result always fails: a
-// step is kept only if the scenario still does.
+// This file reduces a failing scenario to what it needs to fail. The result always fails, because a step is kept only
+// if the scenario still fails after it.
 
-// Minimise leaves out what a scenario fails without: troubles, randomness, rooms, gateways, members, length. It plays
-// at most so many scenarios, and gives the smallest that still fails (delta debugging: Zeller and Hildebrandt, TSE
-// 2002, here greedily and with halving).
+// Minimise removes whatever a scenario doesn't need to fail: faults, randomness, rooms, gateways, members, length. It
+// calls fails at most tries times, and returns the smallest scenario found that still fails (delta debugging: Zeller
+// and Hildebrandt, TSE 2002, here greedily and with halving).
 func Minimise(s Scenario, tries int, fails func(Scenario) bool) Scenario {
 	halve := func(n *int, least int) bool {
 		was := *n
@@ -26,11 +26,11 @@
 	}
 	least := 1
 	for _, n := range s.Spread {
-		least = max(least, n) // fewer gateways than a set has would be another deployment
+		least = max(least, n) // a set with fewer gateways would be another deployment
 	}
 	steps := []func(*Scenario) bool{
 		func(s *Scenario) bool {
-			for _, t := range s.Troubles {
+			for _, t := range s.Faults {
 				if s.Length > t.At+t.For+2*time.Second {
 					continue
 				}
@@ -47,16 +47,16 @@
 		func(s *Scenario) bool { return halve(&s.Cells, 1) },
 		func(s *Scenario) bool { return halve(&s.Retries, 0) },
 		func(s *Scenario) bool { return zero(&s.Loss) },
-		func(s *Scenario) bool { return zero(&s.Hot) },
-		func(s *Scenario) bool { return zero(&s.Once) },
-		func(s *Scenario) bool { return zero(&s.GuessCV) },
-		func(s *Scenario) bool { return zero(&s.SlowPart) },
+		func(s *Scenario) bool { return zero(&s.HotShare) },
+		func(s *Scenario) bool { return zero(&s.OneTimeShare) },
+		func(s *Scenario) bool { return zero(&s.EstimateCV) },
+		func(s *Scenario) bool { return zero(&s.SlowShare) },
 	}
 	for again := true; again && tries > 0; {
 		again = false
-		for i := len(s.Troubles) - 1; i >= 0 && tries > 0; i-- {
+		for i := len(s.Faults) - 1; i >= 0 && tries > 0; i-- {
 			next := s
-			next.Troubles = slices.Delete(slices.Clone(s.Troubles), i, i+1)
+			next.Faults = slices.Delete(slices.Clone(s.Faults), i, i+1)
 			if tries--; fails(next) {
 				s, again = next, true
 			}
@@ -80,10 +80,10 @@
 	fmt.Fprintf(b, "seed=%d gateways=%d members=%d rooms=%d cells=%d load=%.2f accounts=%d classes=%d plans=%d hot=%.2f "+
 		"once=%.2f loss=%.2f guess_cv=%.2f retries=%d length=%v",
 		s.Seed, s.Gateways, s.Members, s.Rooms, s.Cells, s.Load, s.Accounts, len(s.Settings.Classes), len(s.Settings.Plans),
-		s.Hot, s.Once, s.Loss, s.GuessCV, s.Retries, s.Length)
-	for _, t := range s.Troubles {
+		s.HotShare, s.OneTimeShare, s.Loss, s.EstimateCV, s.Retries, s.Length)
+	for _, t := range s.Faults {
 		fmt.Fprintf(b, " trouble=%s:%v:%v:%.2f",
-			t.Kind, t.At.Round(time.Millisecond), t.For.Round(time.Millisecond), t.Part)
+			t.Kind, t.At.Round(time.Millisecond), t.For.Round(time.Millisecond), t.Share)
 	}
 	return b.String()
 }
--- a/internal/emulator/plain.go
+++ b/internal/emulator/plain.go
@@ -10,7 +10,7 @@
 	"sprucelane.example/sprucelane/policy"
 )
 
-// balancer decides for a gateway: policy.Gateway, or the plain policy that it is compared with.
+// balancer makes a gateway's decisions. It is a policy.Gateway, or the plain policy that it is compared with.
 type balancer interface {
 	Attach(policy.Host)
 	Servers(now Time, kind policy.ListKind, list []policy.ServerInfo)
@@ -24,9 +24,9 @@
 	Stats(now Time) policy.Stats
 }
 
-// plain is the textbook policy that policy.Gateway is compared with: the less loaded of two random members (power of
-// two choices: Mitzenmacher, TPDS 2001), an even share of each quota, cap and hard limit, a retry only where the first
-// attempt never ran, and no messages to peers.
+// plain is the textbook policy that policy.Gateway is compared with. It sends a request to the less loaded of two
+// random members (power of two choices: Mitzenmacher, TPDS 2001), gives each gateway an even share of each quota, cap
+// and hard limit, retries only where the first attempt never ran, and sends no messages to peers.
 type plain struct {
 	settings policy.Settings
 	host     policy.Host
@@ -70,7 +70,8 @@
 	}
 }
 
-// withinQuota draws a request's units from this gateway's share, and tells whether the share had them.
+// withinQuota deducts a request's units from this gateway's share of the quota and the hard limit, and reports whether
+// both had enough and the customer is within its cap. Otherwise it deducts nothing.
 func (p *plain) withinQuota(now Time, in policy.Request) bool {
 	plan, n := p.settings.Plans[in.Plan], float64(max(1, in.SetSize))
 	a := p.shares[in.Customer]
--- a/internal/emulator/platform.go
+++ b/internal/emulator/platform.go
@@ -6,11 +6,11 @@
 	"sprucelane.example/sprucelane/policy"
 )
 
-// Platform gives the platform's deployment by the figures that its operators state: two classes, two plans, members of
-// two cores.
+// Platform returns the platform's deployment with the figures that its operators state: two classes, two plans, members
+// with two cores.
 func Platform(seed uint64, gateways, members int, load float64, length time.Duration) Scenario {
 	target, deadline := 1200*time.Millisecond, 4*time.Second
-	return Scenario{Seed: seed, Gateways: gateways, Members: members, SlowPart: 0.4, Load: load,
+	return Scenario{Seed: seed, Gateways: gateways, Members: members, SlowShare: 0.4, Load: load,
 		Accounts: max(20, 4*members), Length: length,
 		Spec: MemberSpec{Cores: 2, Speed: 1, Queue: 24, Work: 130 * time.Millisecond, Sigma: 0.4, ColdFrom: 0.18,
 			WarmWithin: 16 * time.Second},
--- a/internal/emulator/rules.go
+++ b/internal/emulator/rules.go
@@ -8,19 +8,19 @@
 // Broken is the error of a run that broke a rule. The run ends there.
 type Broken = referee.Broken
 
-// request is one request of a client: what the checker knows of it, and what the client does. A client that repeats a
-// request after a refusal or a failure makes a new one.
+// request is one request of a client, with the checker's record of it and the client's state. A client that repeats a
+// request after a refusal or a failure creates a new one.
 type request struct {
 	referee.Request
 	arrivedAt   Time
-	first       *request // the client's original request, which its repeats belong to; itself for the original
+	original    *request // the request that this one repeats; itself where it isn't a repeat
 	retriesLeft int      // repeats that the client may still make
 	inTime      bool
-	actualUnits float64 // units that it draws; Units is the estimate
-	value       float64 // to the operator; 0 where it is beyond its account's quota
+	actualUnits float64 // units that the request draws; Units is the estimate
+	value       float64 // value to the operator; 0 where the request is beyond its account's quota
 }
 
-// arriveAtMember reports to the checker that an attempt reaches a member, and whether the member runs it.
+// arriveAtMember reports to the checker that an attempt reaches a member and, if the member accepts it, that it runs.
 func (r *run) arriveAtMember(g *gateway, m *member, q *request) {
 	warmth := 1.0
 	if m.up {
@@ -32,7 +32,7 @@
 	}
 }
 
-// checkEnd reports the requests without a final answer at a run's end to the checker.
+// checkEnd reports the requests that have no final answer at the end of a run to the checker.
 func (r *run) checkEnd() {
 	var open []*referee.Request
 	for _, q := range r.requests {
@@ -41,7 +41,7 @@
 	r.checker.Over(r.engine.now, open)
 }
 
-// idempotency gives the idempotency of a request's class.
+// idempotency returns the idempotency of a request's class.
 func (r *run) idempotency(q *request) policy.Idempotency {
 	return r.Settings.Classes[q.Class].Idempotency
 }
--- a/internal/emulator/run.go
+++ b/internal/emulator/run.go
@@ -15,71 +15,71 @@
 	"sprucelane.example/sprucelane/policy"
 )
 
-// Scenario says all that a run depends on. The same scenario gives the same run.
+// Scenario holds everything that a run depends on. The same scenario gives the same run.
 type Scenario struct {
-	Seed     uint64
-	Gateways int
-	Members  int
-	Spec     MemberSpec
-	SlowPart float64 // share of the members whose cores run at three quarters of the speed
-	Load     float64 // first tries, over the capacity of all members when warm
-	Accounts int
-	Spread   []int         // gateways that serve an account, by its plan; nil: 4
-	Hot      float64       // share of the accounts that send HotX times as many requests as others
-	HotX     int           // 0 means 10
-	Once     float64       // share of the first tries that come from an account that sends nothing else
-	Rooms    int           // that members and gateways are spread over in turn; 0 means 1
-	Length   time.Duration // for which clients send requests; the run goes on until all have an answer
+	Seed         uint64
+	Gateways     int
+	Members      int
+	Spec         MemberSpec
+	SlowShare    float64 // share of the members whose cores run at three quarters of the speed
+	Load         float64 // rate of first tries, over the capacity of all members when warm
+	Accounts     int
+	Spread       []int         // number of gateways that serve an account, by its plan; nil: 4
+	HotShare     float64       // share of the accounts that send HotFactor times as many requests as others
+	HotFactor    int           // 0 means 10
+	OneTimeShare float64       // share of the first tries that come from an account that sends nothing else
+	Rooms        int           // failure domains; members and gateways are spread over them in turn; 0 means 1
+	Length       time.Duration // how long clients send requests; the run continues until all must have an answer
 
-	Link      time.Duration // one-way delay, to members and between gateways
-	Loss      float64       // of messages between gateways
-	Boot      time.Duration // how long a gateway takes to start
-	Notice    time.Duration // after which the front knows that a gateway is down
-	Discovery time.Duration // delay of a change of the server list
-	Settings  policy.Settings
+	Link           time.Duration // one-way delay, to members and between gateways
+	Loss           float64       // share of the messages between gateways that is lost
+	Boot           time.Duration // how long a gateway takes to start
+	DetectionDelay time.Duration // until the front knows that a gateway is down
+	Discovery      time.Duration // delay until gateways receive a change of the server list
+	Settings       policy.Settings
 
-	Troubles []Trouble
+	Faults []Fault
 
-	Cells   int        // that members are spread over in turn; 0 means 1
-	Classes []ClassUse // the load of each; nil: all alike
-	Plans   []PlanUse  // the load of each; nil: an account has a random plan, and all plans have the same load
-	Units   int        // most that a request draws; 0 means 4
-	Report  Report
-	BySize  bool    // a request's work is proportional to its units; else they are independent
-	GuessCV float64 // coefficient of variation of the estimates of units; 0: they are exact
-	Retries int     // most repeats by a client after a refusal, or after a failure of an idempotent request
-	Comes   float64 // share of the clients that repeat; 0 means all
-	Honour  float64 // share of the clients that wait for as long as a refusal says
-	Plain   bool    // a textbook policy decides (plain.go), for comparison
+	Cells            int        // deduplication groups; members are spread over them in turn; 0 means 1
+	Classes          []ClassUse // the load of each class; nil: the same for all
+	Plans            []PlanUse  // the load of each plan; nil: accounts have random plans, and all plans have the same load
+	MaxRequestUnits  int        // most units that a request draws; 0 means 4
+	Report           Report
+	WorkByUnits      bool    // a request's work is proportional to its units; otherwise work and units are independent
+	EstimateCV       float64 // coefficient of variation of the estimates of units; 0: the estimates are exact
+	Retries          int     // most repeats by a client after a refusal, or after a failure of an idempotent request
+	RetryShare       float64 // share of the clients that repeat requests; 0 means all
+	HonourRetryAfter float64 // probability that a client waits for as long as a refusal says
+	Plain            bool    // use the textbook policy of plain.go, for comparison
 }
 
-// Result has the figures of a run.
+// Result contains the figures of a run.
 type Result struct {
-	Offered, InTime float64   // value of the requests within quotas: all, and those that were served within the target
-	Seconds         []float64 // share of the value offered in each second that was served in time
-	Tries           int
-	Served, Refused int
-	Failed, Lost    int
-	Sends           int
-	Beyond          float64 // value sent on beyond the quotas
-	Dials           int     // connections opened to members
-	Told            int     // datagrams that gateways sent to peers
-	PeakDials       int     // most dials of the fleet in a tenth of a second
-	PeakTold        int
-	Took            []time.Duration // time to full service of each gateway that started during the run
-	MostHeard       int             // most datagrams that one gateway received within a second
-	Dropped         int             // datagrams beyond a gateway's intake
-	State           int             // bytes of the first gateway's state at the end
-	OverCap         int             // most attempts that an account had in flight beyond its cap
-	OverCeiling     float64         // most units that an account was beyond its hard limit; the plan's slack is allowed
-	PeakCold        float64         // most that a cold member was sent in a second, over its capacity
-	Digest          string          // of all that happened, in order
+	Offered, InTime   float64   // value of the requests within quotas: all of them, and those served within the target
+	Seconds           []float64 // share of the value offered in each second that was served in time
+	Tries             int
+	Served, Refused   int
+	Failed, Lost      int
+	Sends             int
+	BeyondQuota       float64 // value sent to members beyond the quotas
+	Dials             int     // connections opened to members
+	PeerDatagrams     int     // datagrams that gateways sent to peers
+	PeakDials         int     // most dials of the fleet in a tenth of a second
+	PeakPeerDatagrams int
+	FullServiceTimes  []time.Duration // time to full service of each gateway that started during the run
+	PeakReceived      int             // most datagrams that one gateway received within a second
+	Dropped           int             // datagrams dropped because they exceeded a gateway's Settings.PeerMessageRate
+	StateBytes        int             // size of the first gateway's exported state at the end, in bytes
+	OverCap           int             // most attempts that an account had in flight beyond its cap
+	OverHardLimit     float64         // most units that an account was beyond its hard limit; the plan's slack is allowed
+	PeakCold          float64         // most requests sent to a cold member in a second, over its capacity at that time
+	Digest            string          // hash of all events, in order
 }
 
-// Share gives the value served in time over the value offered.
+// Share returns the value served in time over the value offered.
 func (r Result) Share() float64 { return r.InTime / max(r.Offered, 1e-9) }
 
-// Check returns an error that names the first part of a scenario that can't be used.
+// Check returns an error that names the first invalid field of the scenario, or nil.
 func (s Scenario) Check() error {
 	switch {
 	case s.Gateways < 1:
@@ -93,15 +93,15 @@
 	case s.Accounts < 1:
 		return errors.New("accounts: must be 1 or more")
 	case s.Spread != nil && len(s.Spread) != len(s.Settings.Plans):
-		return errors.New("spread: one for each plan")
+		return errors.New("spread: must have one entry for each plan of the settings")
 	case s.Length <= 0:
 		return errors.New("length: must be above 0")
 	case s.Classes != nil && len(s.Classes) != len(s.Settings.Classes):
-		return errors.New("classes: one for each of the settings'")
+		return errors.New("classes: must have one entry for each class of the settings")
 	case s.Plans != nil && len(s.Plans) != len(s.Settings.Plans):
-		return errors.New("plans: one for each of the settings'")
-	case s.Units < 0 || s.Settings.MaxUnits > 0 && float64(s.Units) > s.Settings.MaxUnits:
-		return errors.New("units: must not be below 0 nor above the settings' largest")
+		return errors.New("plans: must have one entry for each plan of the settings")
+	case s.MaxRequestUnits < 0 || s.Settings.MaxUnits > 0 && float64(s.MaxRequestUnits) > s.Settings.MaxUnits:
+		return errors.New("units: must not be below 0 or above the settings' largest value")
 	}
 	for i, c := range s.Classes {
 		if !(c.Share >= 0) || !(c.Work > 0) {
@@ -113,7 +113,7 @@
 			return fmt.Errorf("plans[%d]: share must not be below 0, accounts must be 1 or more", i)
 		}
 	}
-	for i, t := range s.Troubles {
+	for i, t := range s.Faults {
 		if err := t.Check(); err != nil {
 			return fmt.Errorf("troubles[%d]: %w", i, err)
 		}
@@ -123,7 +123,7 @@
 	return set.Validate()
 }
 
-// run is the state of a run.
+// run is the state of one simulation.
 type run struct {
 	Scenario
 	Result
@@ -137,20 +137,20 @@
 	checker          *referee.Referee
 	digest           hash.Hash
 	links            *rand.Rand
-	partitionedRoom  int            // below 0: none
-	listsHeldUntil   Time           // lists are held back until then
+	partitionedRoom  int            // room that is cut off from the others; below 0: none
+	listsHeldUntil   Time           // server lists are held back until then
 	peaks            [2]peakCounter // of dials and datagrams
 	messageFaults    []*messageFault
 	brokenLinks      []*linkFault
 	oneTimeCustomers policy.CustomerID
-	guesses          *rand.Rand
+	estimates        *rand.Rand
 	retries          *rand.Rand
 }
 
 // peakCounter counts events within a tenth of a second.
 type peakCounter struct{ at, n int }
 
-// count adds an event, and gives the largest count so far, of which most is the one before.
+// count counts an event at now, and returns the largest count so far. most is the largest count before it.
 func (c *peakCounter) count(now Time, most int) int {
 	if at := int(now / (100 * time.Millisecond)); at != c.at {
 		c.at, c.n = at, 0
@@ -159,20 +159,20 @@
 	return max(most, c.n)
 }
 
-// partitioned tells whether two rooms are partitioned from each other.
+// partitioned reports whether two rooms are partitioned from each other.
 func (r *run) partitioned(a, b int) bool {
 	return r.partitionedRoom >= 0 && (a == r.partitionedRoom) != (b == r.partitionedRoom)
 }
 
-// Play runs a scenario to its end, or to the first broken rule, which it returns as a Broken.
-func Play(s Scenario) (Result, error) {
+// Simulate runs a scenario to its end, or to the first broken rule, which it returns as a *Broken.
+func Simulate(s Scenario) (Result, error) {
 	if err := s.Check(); err != nil {
 		return Result{}, err
 	}
 	r := &run{Scenario: s, engine: NewEngine(s.Seed), requests: map[policy.RequestID]*request{},
 		checker: referee.New(s.Settings, s.Seed, Origin), digest: sha256.New(), partitionedRoom: -1}
 	r.checker.Way = s.Link
-	r.links, r.guesses, r.retries = r.engine.Stream("links"), r.engine.Stream("guesses"), r.engine.Stream("retries")
+	r.links, r.estimates, r.retries = r.engine.Stream("links"), r.engine.Stream("guesses"), r.engine.Stream("retries")
 	slow := r.engine.Stream("members")
 	for range s.Members {
 		r.addMember(slow)
@@ -180,9 +180,9 @@
 	for i := range s.Gateways {
 		r.gateways = append(r.gateways, &gateway{run: r, index: i, room: i % max(1, s.Rooms)})
 	}
-	for i, t := range s.Troubles {
-		if t.Kind == Clock {
-			for _, k := range Struck(s.Seed, i, s.Gateways, t.Part) {
+	for i, t := range s.Faults {
+		if t.Kind == ClockSkew {
+			for _, k := range FaultTargets(s.Seed, i, s.Gateways, t.Share) {
 				r.gateways[k].clockOffset = time.Duration(cmp.Or(t.Size, 10) * float64(time.Second))
 			}
 		}
@@ -190,7 +190,7 @@
 	for _, g := range r.gateways {
 		g.boot()
 	}
-	for i, t := range s.Troubles {
+	for i, t := range s.Faults {
 		r.engine.After(t.At, func() { r.beginFault(t, r.engine.Stream(fmt.Sprintf("trouble %d", i))) })
 	}
 	r.clients()
@@ -204,10 +204,10 @@
 	if r.checker.Err() == nil {
 		r.checkEnd()
 	}
-	r.Beyond, r.OverCap = r.checker.Beyond, r.checker.OverCap
-	r.OverCeiling, r.PeakCold = r.checker.OverCeiling, r.checker.PeakCold
+	r.BeyondQuota, r.OverCap = r.checker.Beyond, r.checker.OverCap
+	r.OverHardLimit, r.PeakCold = r.checker.OverCeiling, r.checker.PeakCold
 	if gateway, ok := r.gateways[0].balancer.(*policy.Gateway); ok {
-		r.State = len(gateway.ExportState(r.engine.now, 1<<30))
+		r.StateBytes = len(gateway.ExportState(r.engine.now, 1<<30))
 	}
 	for i := range r.offered {
 		r.Seconds = append(r.Seconds, r.served[i]/max(r.offered[i], 1e-9))
@@ -216,10 +216,10 @@
 	return r.Result, r.checker.Err()
 }
 
-// addMember adds a member that is warm. slow draws whether it is a slow one.
+// addMember adds a warm member. The random stream slow decides whether it runs at the reduced speed.
 func (r *run) addMember(slow *rand.Rand) *member {
 	spec, i := r.Spec, len(r.members)
-	if slow.Float64() < r.SlowPart {
+	if slow.Float64() < r.SlowShare {
 		spec.Speed *= 0.75
 	}
 	m := &member{engine: r.engine, spec: spec, id: policy.ServerID(i + 1), room: i % max(1, r.Rooms),
@@ -252,7 +252,7 @@
 		plan, first int
 		set         int
 		refilledAt  Time
-		tokens      float64 // of the quota, as one bucket over all gateways would have them
+		tokens      float64 // tokens of the quota, if one bucket served all gateways
 	}
 	accounts := make([]account, r.Accounts)
 	begin := func(plan int) account {
@@ -263,7 +263,7 @@
 		}
 		return a
 	}
-	firsts := []int{0} // the first account of each plan, where plans are asked for by share
+	firsts := []int{0} // the first account of each plan, where Scenario.Plans states the load of each
 	for i := range accounts {
 		plan := len(firsts) - 1
 		if r.Plans == nil {
@@ -274,18 +274,18 @@
 		}
 		accounts[i] = begin(plan)
 	}
-	// drawAccount draws one of n accounts, of which the hot ones come first and send HotX times as much.
+	// drawAccount draws one of n accounts. The hot accounts have the lowest indices and send HotFactor times as much.
 	drawAccount := func(n int) int {
-		hot := int(r.Hot * float64(n))
-		id := rng.IntN(n + (cmp.Or(r.HotX, 10)-1)*hot)
+		hot := int(r.HotShare * float64(n))
+		id := rng.IntN(n + (cmp.Or(r.HotFactor, 10)-1)*hot)
 		if id >= n {
 			id %= hot
 		}
 		return id
 	}
 	maxUnits := 4
-	if r.Units > 0 {
-		maxUnits = r.Units
+	if r.MaxRequestUnits > 0 {
+		maxUnits = r.MaxRequestUnits
 	}
 	var next func()
 	next = func() {
@@ -297,11 +297,11 @@
 		if r.Plans == nil {
 			id = drawAccount(len(accounts))
 		} else {
-			plan := byShare(rng, r.Plans, func(p PlanUse) float64 { return p.Share })
+			plan := drawByShare(rng, r.Plans, func(p PlanUse) float64 { return p.Share })
 			id = firsts[plan] + drawAccount(r.Plans[plan].Accounts)
 		}
 		a, customer := &accounts[id], policy.CustomerID(id+1)
-		if r.Once > 0 && rng.Float64() < r.Once {
+		if r.OneTimeShare > 0 && rng.Float64() < r.OneTimeShare {
 			r.oneTimeCustomers++
 			customer = policy.CustomerID(len(accounts)) + r.oneTimeCustomers
 			once := begin(a.plan)
@@ -312,7 +312,7 @@
 		if r.Classes == nil {
 			class = rng.IntN(len(r.Settings.Classes))
 		} else {
-			class = byShare(rng, r.Classes, func(c ClassUse) float64 { return c.Share })
+			class = drawByShare(rng, r.Classes, func(c ClassUse) float64 { return c.Share })
 		}
 		c := r.Settings.Classes[class]
 		units := 1 + float64(rng.IntN(maxUnits))
@@ -321,12 +321,12 @@
 			value: c.Value * plan.ValueMultiplier * units}
 		q.Request.Request = policy.Request{ID: r.lastRequest, Class: class, Plan: a.plan, Customer: customer,
 			Units: units, SetSize: a.set, FirstGateway: a.first}
-		if r.Comes > 0 && r.retries.Float64() >= r.Comes {
+		if r.RetryShare > 0 && r.retries.Float64() >= r.RetryShare {
 			q.retriesLeft = 0
 		}
-		if q.first = q; r.GuessCV > 0 {
-			sigma := math.Sqrt(math.Log(1 + r.GuessCV*r.GuessCV))
-			q.Units = min(max(0.5, units*math.Exp(sigma*r.guesses.NormFloat64()-sigma*sigma/2)), max(r.Settings.MaxUnits, 0.5))
+		if q.original = q; r.EstimateCV > 0 {
+			sigma := math.Sqrt(math.Log(1 + r.EstimateCV*r.EstimateCV))
+			q.Units = min(max(0.5, units*math.Exp(sigma*r.estimates.NormFloat64()-sigma*sigma/2)), max(r.Settings.MaxUnits, 0.5))
 		}
 		q.Price, q.Deadline = q.value, r.engine.now+c.Deadline
 		r.Tries++
@@ -345,7 +345,8 @@
 	r.engine.After(0, next)
 }
 
-// route brings a request to the gateway at a place of its account's set, or to the next that the front takes to be up.
+// route sends a request to the gateway at index at of its account's set or, where the front knows that gateway to be
+// down, to the next one of the set that it takes to be up.
 func (r *run) route(q *request, at int) {
 	index := (q.FirstGateway + at) % r.Gateways
 	for k := 0; k < q.SetSize && r.knownDown(r.gateways[index]); k++ {
@@ -363,46 +364,47 @@
 	r.gateways[index].receiveRequest(q)
 }
 
-// knownDown tells whether the front sends no requests to a gateway.
+// knownDown reports whether the front has stopped sending requests to a gateway.
 func (r *run) knownDown(g *gateway) bool {
-	return !g.up && r.engine.now >= g.downSince+r.Notice || r.engine.now < g.unroutedUntil
+	return !g.up && r.engine.now >= g.downSince+r.DetectionDelay || r.engine.now < g.unroutedUntil
 }
 
-// retry lets a client repeat a request after a backoff, or after wait where it honours that and it is longer.
+// retry lets a client repeat a request after a random backoff. A client that honours wait (Scenario.HonourRetryAfter)
+// waits for the longer of the two.
 func (r *run) retry(q *request, wait time.Duration) {
 	c := r.Settings.Classes[q.Class]
 	backoff := time.Duration((0.05 + 0.2*r.retries.Float64()) * float64(time.Second))
-	if r.retries.Float64() >= r.Honour {
+	if r.retries.Float64() >= r.HonourRetryAfter {
 		wait = 0
 	}
 	backoff = max(backoff, wait)
-	if q.retriesLeft <= 0 || r.engine.now+backoff >= q.first.arrivedAt+c.Deadline {
+	if q.retriesLeft <= 0 || r.engine.now+backoff >= q.original.arrivedAt+c.Deadline {
 		return
 	}
 	r.engine.After(backoff, func() {
 		r.lastRequest++
 		next := *q
 		next.Request = referee.Request{Request: q.Request.Request, Price: q.Price}
-		next.ID, next.arrivedAt, next.Deadline = r.lastRequest, r.engine.now, q.first.arrivedAt+c.Deadline
+		next.ID, next.arrivedAt, next.Deadline = r.lastRequest, r.engine.now, q.original.arrivedAt+c.Deadline
 		next.retriesLeft, next.ClientRetry = q.retriesLeft-1, true
 		r.Tries++
 		r.route(&next, r.retries.IntN(q.SetSize))
 	})
 }
 
-// workSize gives a request's work over the mean, by its class and, with BySize, by its units.
+// workSize returns a request's work over the mean, by its class and, with WorkByUnits, by its units.
 func (r *run) workSize(q *request) float64 {
 	size := 1.0
 	if r.Classes != nil {
 		size = r.Classes[q.Class].Work
 	}
-	if r.BySize {
-		size *= q.actualUnits / (1 + float64(cmp.Or(r.Units, 4))) * 2
+	if r.WorkByUnits {
+		size *= q.actualUnits / (1 + float64(cmp.Or(r.MaxRequestUnits, 4))) * 2
 	}
 	return size
 }
 
-// reportedUnits gives the units that a successful answer states, 0 where the estimate was exact.
+// reportedUnits returns the units that a successful answer states, or 0 where the estimate was exact.
 func (q *request) reportedUnits() float64 {
 	if q.actualUnits == q.Units {
 		return 0
@@ -410,7 +412,7 @@
 	return q.actualUnits
 }
 
-// currentLoad gives a member's load report, with the fields that the settings name.
+// currentLoad returns a member's present load report, with the fields that the settings name.
 func (r *run) currentLoad(m *member) []float32 {
 	if len(r.Settings.LoadReportFields) == 0 {
 		return nil
@@ -429,7 +431,7 @@
 	return list
 }
 
-// reportLoads schedules a member's load reports, which are delayed and noisy by Scenario.Report.
+// reportLoads schedules a member's load reports, with the interval, delay and noise of Scenario.Report.
 func (r *run) reportLoads(m *member) {
 	if r.Report.Every <= 0 || len(r.Settings.LoadReportFields) == 0 {
 		return
@@ -447,7 +449,7 @@
 	r.engine.After(time.Duration(rng.Float64()*float64(r.Report.Every)), next)
 }
 
-// reportedLoad gives the load report in a member's answers.
+// reportedLoad returns the load report that a member's answers carry.
 func (r *run) reportedLoad(m *member) []float32 {
 	if r.Report.Every > 0 {
 		return m.reportedLoad
@@ -455,7 +457,8 @@
 	return r.currentLoad(m)
 }
 
-// addToSecond adds a request's value to the second in which it arrived; a nil request only extends the list to now.
+// addToSecond adds a request's value to the second in which it arrived; a nil request only extends the
+// list to the present second.
 func (r *run) addToSecond(to *[]float64, q *request) {
 	at := int((r.engine.now - Origin) / time.Second)
 	if q != nil {
--- a/internal/lab/faults/faults_test.go
+++ b/internal/lab/faults/faults_test.go
@@ -166,7 +166,7 @@
 func TestPlansThatCannotBe(t *testing.T) {
 	for key, spoil := range map[string]func(*Plan){"gateways": func(p *Plan) { p.Gateways = 0 }, "members": func(p *Plan) { p.Members = 99999 },
 		"load": func(p *Plan) { p.Load = 0 }, "for": func(p *Plan) { p.Length = 0 }, "spread": func(p *Plan) { p.Spread = 9 },
-		"script[1]": func(p *Plan) { p.Script = []Trouble{{Kind: Upgrade, Part: 1}, {Kind: "flood", Part: 1}} }} {
+		"script[1]": func(p *Plan) { p.Script = []Trouble{{Kind: Upgrade, Share: 1}, {Kind: "flood", Share: 1}} }} {
 		p := Default()
 		spoil(&p)
 		_, err := Play(context.Background(), p)
--- a/internal/lab/faults/rig.go
+++ b/internal/lab/faults/rig.go
@@ -30,7 +30,7 @@
 )
 
 // Trouble is one fault of a script.
-type Trouble = emulator.Trouble
+type Trouble = emulator.Fault
 
 // What processes alone can play.
 const (
@@ -327,7 +327,7 @@
 	plan.Load.Watch = r
 	plan.Ahead = func(g int) (ahead time.Duration) {
 		for i, t := range p.Script {
-			if t.Kind == emulator.Clock && slices.Contains(emulator.Struck(p.Seed, i, p.Gateways, t.Part), g) {
+			if t.Kind == emulator.ClockSkew && slices.Contains(emulator.FaultTargets(p.Seed, i, p.Gateways, t.Share), g) {
 				ahead += time.Duration(cmp.Or(t.Size, 10) * float64(time.Second))
 			}
 		}
--- a/internal/lab/faults/script.go
+++ b/internal/lab/faults/script.go
@@ -71,7 +71,7 @@
 			if own { // the emulator has no word for it
 				kind = string(emulator.Kill)
 			}
-			t, err := emulator.ParseTrouble(kind + ":" + rest)
+			t, err := emulator.ParseFault(kind + ":" + rest)
 			if err != nil {
 				return nil, fmt.Errorf("script: %w", err)
 			}
@@ -106,11 +106,11 @@
 }
 
 // onBoth are the faults that processes and the emulator play.
-var onBoth = []emulator.Kind{emulator.Kill, emulator.Restart, emulator.Stall, emulator.Deaf, emulator.Halves, emulator.OneWay, emulator.Lossy,
-	emulator.Sever, emulator.Silent, emulator.Late, emulator.Twice, emulator.Spoilt, emulator.Shut, emulator.Clock, emulator.Hang, emulator.Stop, emulator.Drain, emulator.Pause}
+var onBoth = []emulator.Kind{emulator.Kill, emulator.Restart, emulator.Stall, emulator.Isolate, emulator.Partition, emulator.OneWay, emulator.LoseMessages,
+	emulator.Sever, emulator.HoldLists, emulator.DelayMessages, emulator.DuplicateMessages, emulator.CorruptMessages, emulator.Unroute, emulator.ClockSkew, emulator.Hang, emulator.Stop, emulator.Drain, emulator.Pause}
 
 // drawn are those that scripts are drawn of: every machine reads the same clock.
-var drawn = slices.DeleteFunc(slices.Clone(onBoth), func(k emulator.Kind) bool { return k == emulator.Clock })
+var drawn = slices.DeleteFunc(slices.Clone(onBoth), func(k emulator.Kind) bool { return k == emulator.ClockSkew })
 
 // boot is what a gateway takes from its start to its first yes on loopback, some 20 ms, and the lab's own look for it.
 const boot = 25 * time.Millisecond
@@ -130,13 +130,13 @@
 		return emulator.Scenario{}, err
 	}
 	asks := p.asks()
-	s := emulator.Scenario{Seed: p.Seed, Gateways: p.Gateways, Members: p.Members, SlowPart: 0.4, Load: p.Load, Length: p.Length,
+	s := emulator.Scenario{Seed: p.Seed, Gateways: p.Gateways, Members: p.Members, SlowShare: 0.4, Load: p.Load, Length: p.Length,
 		Spec: emulator.MemberSpec{Cores: p.Spec.Cores, Speed: p.Spec.Speed, Queue: p.Spec.Queue, Work: p.Spec.Work.Mean, Sigma: p.Spec.Work.Sigma,
 			ColdFrom: p.Spec.ColdFrom, WarmWithin: p.Spec.WarmWithin, WarmWork: p.Spec.WarmWork},
-		Link: 200 * time.Microsecond, Discovery: listDelay, Boot: boot, Notice: p.Notice, Settings: set, Hot: p.Heavy, HotX: int(asks.HeavyX),
-		Retries: 1, Comes: asks.Retries, Honour: asks.Heeds, Troubles: p.Script}
+		Link: 200 * time.Microsecond, Discovery: listDelay, Boot: boot, DetectionDelay: p.Notice, Settings: set, HotShare: p.Heavy, HotFactor: int(asks.HeavyX),
+		Retries: 1, RetryShare: asks.Retries, HonourRetryAfter: asks.Heeds, Faults: p.Script}
 	// Speeds are drawn for each member, and the load is worked out from what those of full speed can do.
-	s.Load /= 1 - 0.25*s.SlowPart
+	s.Load /= 1 - 0.25*s.SlowShare
 	for _, c := range asks.Classes {
 		s.Classes = append(s.Classes, emulator.ClassUse{Share: c.Share, Work: 1})
 	}
@@ -155,12 +155,12 @@
 	if err != nil {
 		return End{}, err
 	}
-	r, err := emulator.Play(s)
+	r, err := emulator.Simulate(s)
 	e := End{On: "emulator", Seed: p.Seed, Script: Words(p.Script), Share: r.Share(), Seconds: r.Seconds, Tries: r.Tries,
 		Ends:   map[string]int{"served": r.Served, "refused": r.Refused, "failed": r.Failed, "broken": r.Lost},
-		Beyond: r.Beyond / max(r.Offered, 1e-9), Ceiling: r.OverCeiling, PeakCold: r.PeakCold, Peaks: map[string]int{"dials": r.PeakDials, "datagrams": r.PeakTold},
-		Totals: map[string]int{"dials": r.Dials, "datagrams": r.Told}}
-	for _, d := range r.Took {
+		Beyond: r.BeyondQuota / max(r.Offered, 1e-9), Ceiling: r.OverHardLimit, PeakCold: r.PeakCold, Peaks: map[string]int{"dials": r.PeakDials, "datagrams": r.PeakPeerDatagrams},
+		Totals: map[string]int{"dials": r.Dials, "datagrams": r.PeerDatagrams}}
+	for _, d := range r.FullServiceTimes {
 		e.Took = append(e.Took, d.Seconds())
 	}
 	if err != nil {
@@ -175,13 +175,13 @@
 		return time.Duration((low+rng.Float64()*(high-low))*10).Round(1) * 100 * time.Millisecond
 	}
 	for range 1 + rng.IntN(4) {
-		t := Trouble{Kind: drawn[rng.IntN(len(drawn))], At: tenths(3, length.Seconds()/2), Part: float64(1+rng.IntN(10)) / 10}
+		t := Trouble{Kind: drawn[rng.IntN(len(drawn))], At: tenths(3, length.Seconds()/2), Share: float64(1+rng.IntN(10)) / 10}
 		switch t.For = tenths(0.3, length.Seconds()/3); t.Kind {
 		case emulator.Kill, emulator.Stop:
 			t.For = tenths(0.3, 2)
 		case emulator.Hang, emulator.Pause, emulator.Drain:
-			t.Part = min(t.Part, 0.4)
-		case emulator.Lossy, emulator.Sever, emulator.Late, emulator.Twice, emulator.Spoilt:
+			t.Share = min(t.Share, 0.4)
+		case emulator.LoseMessages, emulator.Sever, emulator.DelayMessages, emulator.DuplicateMessages, emulator.CorruptMessages:
 			t.Size = float64(1+rng.IntN(6)) / 10
 		}
 		script = append(script, t)
--- a/internal/lab/faults/search.go
+++ b/internal/lab/faults/search.go
@@ -91,14 +91,14 @@
 		return f
 	}
 	kept := emulator.Minimise(s, mostShrunk, func(s emulator.Scenario) bool {
-		if len(s.Troubles) == 0 || s.Gateways != p.Gateways || s.Members != p.Members || s.Length != p.Length || s.SlowPart == 0 || s.Hot != p.Heavy ||
+		if len(s.Faults) == 0 || s.Gateways != p.Gateways || s.Members != p.Members || s.Length != p.Length || s.SlowShare == 0 || s.HotShare != p.Heavy ||
 			s.Retries == 0 {
 			return false // the faults alone are to get fewer: the site is what it is
 		}
-		g, err := emulated(p, f.Seed, s.Troubles, without)
+		g, err := emulated(p, f.Seed, s.Faults, without)
 		return err == nil && (len(g.Emulated.Broken) > 0 || len(f.Emulated.Broken) == 0 && g.Lost >= 0.9*f.Lost)
 	})
-	if g, err := emulated(p, f.Seed, kept.Troubles, without); err == nil {
+	if g, err := emulated(p, f.Seed, kept.Faults, without); err == nil {
 		return g
 	}
 	return f
--- a/internal/lab/faults/strike.go
+++ b/internal/lab/faults/strike.go
@@ -19,10 +19,10 @@
 
 // strike does one fault, and undoes it when it is over.
 func (r *rig) strike(ctx context.Context, place int, t Trouble) {
-	gateways := emulator.Struck(r.Seed, place, r.Gateways, t.Part)
+	gateways := emulator.FaultTargets(r.Seed, place, r.Gateways, t.Share)
 	ids := r.site.MemberIDs()
 	var struck []string
-	for _, i := range emulator.Struck(r.Seed, place, len(ids), t.Part) {
+	for _, i := range emulator.FaultTargets(r.Seed, place, len(ids), t.Share) {
 		struck = append(struck, ids[i])
 	}
 	var all sync.WaitGroup
@@ -81,36 +81,36 @@
 			return old.Stop(20 * time.Second)
 		})
 		return
-	case emulator.Deaf:
+	case emulator.Isolate:
 		lose(1, func(from, to int) bool { return is(from) || is(to) })
-	case emulator.Halves:
+	case emulator.Partition:
 		lose(1, func(from, to int) bool { return is(from) != is(to) })
 	case emulator.OneWay:
 		lose(1, func(_, to int) bool { return is(to) })
-	case emulator.Lossy:
+	case emulator.LoseMessages:
 		lose(cmp.Or(t.Size, 0.3), func(_, to int) bool { return is(to) })
-	case emulator.Late, emulator.Twice, emulator.Spoilt:
+	case emulator.DelayMessages, emulator.DuplicateMessages, emulator.CorruptMessages:
 		r.setWay(place, func(_, to int) (w Way) {
 			if !is(to) {
 				return w
 			}
 			switch t.Kind {
-			case emulator.Late:
+			case emulator.DelayMessages:
 				w.Jitter = time.Duration(cmp.Or(t.Size, 0.2) * float64(time.Second))
-			case emulator.Twice:
+			case emulator.DuplicateMessages:
 				w.Duplicate = cmp.Or(t.Size, 0.3)
-			case emulator.Spoilt:
+			case emulator.CorruptMessages:
 				w.Corrupt = cmp.Or(t.Size, 0.3)
 			}
 			return w
 		})
-	case emulator.Clock: // from the start on
+	case emulator.ClockSkew: // from the start on
 	case Refuses:
 		for _, n := range gateways {
 			r.site.Agent.Refuse(n, true)
 			defer r.site.Agent.Refuse(n, false)
 		}
-	case emulator.Shut:
+	case emulator.Unroute:
 		for _, n := range gateways {
 			r.site.Doors[n].Set("")
 			defer func() {
@@ -119,7 +119,7 @@
 				}
 			}()
 		}
-	case emulator.Silent:
+	case emulator.HoldLists:
 		for _, n := range gateways {
 			r.site.Agent.Silence(n, true)
 			defer r.site.Agent.Silence(n, false)
