--- a/internal/emulator/trouble.go
+++ b/internal/emulator/trouble.go
@@ -111,8 +111,8 @@
 	return text
 }
 
-// FaultTargets draws which of n gateways or members are affected by the fault at the given index of the script. It depends
-// only on its arguments, so that a script affects the same ones here and on real processes.
+// FaultTargets draws which of n gateways or members are affected by the fault at the given index of the script. It
+// depends only on its arguments, so that a script affects the same ones here and on real processes.
 func FaultTargets(seed uint64, index, n int, share float64) []int {
 	return drawIndices(NewEngine(seed).Stream(fmt.Sprintf("trouble %d", index)), n, share)
 }
