--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -78,8 +78,8 @@
 	}
 }
 
-// handleLocked handles one event under the mutex and returns the queued messages and log lines. A panic ends only one
-// connection of a front, so it releases the mutex, too, and doesn't leave all others waiting.
+// handleLocked handles one event under the mutex and returns the queued messages and log lines. The mutex is
+// released also on a panic, because a panic ends only one connection of a front and the others must go on.
 func (c *Core) handleLocked(event func(now Time)) (messages []peerMessage, logs []logLine) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/ratelimit/hard_limit.go
+++ b/internal/ratelimit/hard_limit.go
@@ -13,7 +13,9 @@
 // Tokens in transit are counted nowhere while the sender's bucket refills. The receiver therefore ignores a grant that
 // arrives late (Receive), and the limit is exceeded at most by its rate times the time that a grant may be in transit.
 type BucketShare struct {
-	Tokens float64 // in units; negative after a request whose body turned out larger, until the refill makes up for it
+	// Tokens is in units. It can be negative: attempts that were sent by another process or under other settings are
+	// charged without a check, and the reserved units that Refill subtracts can exceed the burst.
+	Tokens float64
 }
 
 // Limit is the rate, in units per second, and the burst, in units, of a customer's token bucket or of one share.
--- a/internal/ratelimit/slow_start.go
+++ b/internal/ratelimit/slow_start.go
@@ -30,8 +30,8 @@
 }
 
 // Allows reports whether the share has room for one attempt now. A share below one attempt accrues as credit. Credit is
-// used when the next request arrives, which is a random time, because there may be hundreds of gateways. It expires
-// after half a window.
+// used when the next request arrives, which is a random time at each gateway; this spreads the attempts of gateways, of
+// which there may be hundreds. Credit expires after half a window.
 func (b *SlowStartBudget) Allows(now time.Duration, l SlowStartLimit) bool {
 	for len(b.Sent) > 0 && now-b.Sent[0] > l.Window {
 		b.Sent = b.Sent[1:]
--- a/internal/storm/ramp.go
+++ b/internal/storm/ramp.go
@@ -13,11 +13,12 @@
 	rampStartRatio   = 0.9 // first limit of a recovery, as a ratio of the baseline times the members' warmth
 	rampMaxRatio     = 1.6 // highest limit of a recovery, as a ratio of the same product
 
-	// A tick on which arrivals were rejected and failures are not above rampFailureRatio raises the limit by this factor
-	// plus this step.
+	// A tick on which arrivals were rejected multiplies the limit by this factor and adds this step, unless there are
+	// enough failures for a decrease.
 	rampIncreaseFactor = 1.06
 	rampIncreaseStep   = 0.25
-	// A ratio of failures above rampFailureRatio lowers the limit by this factor, at most once in this interval.
+	// A ratio of failures above rampFailureRatio, with at least 3 attempts late or failed, multiplies the limit by
+	// rampDecreaseFactor, at most once in rampDecreaseInterval.
 	rampFailureRatio     = 0.25
 	rampDecreaseFactor   = 0.75
 	rampDecreaseInterval = 500 * time.Millisecond
--- a/policy/ejection.go
+++ b/policy/ejection.go
@@ -6,7 +6,8 @@
 // reject requests.
 
 // A server is ejected after failuresToEject failures that are at least shareToEject of its attempts, or after
-// consecutiveToEject failures in a row.
+// consecutiveToEject failures in a row. After an ejection that served attempts haven't undone yet (server.ejections), a
+// single failure ejects it again.
 const (
 	failuresToEject      = 2.0  // decayed count of failures
 	shareToEject         = 0.25 // failures as a share of all attempts
--- a/policy/estimates.go
+++ b/policy/estimates.go
@@ -104,7 +104,9 @@
 	}
 	g.warmThroughput = math.Max(throughputDecay*g.warmThroughput, warm.sum/math.Max(warm.weight, 1)/2)
 	g.allCold = warm.weight == 0
-	if g.allCold && g.coldServiceTime.weight > 0 { // each server serves at least one attempt after another
+	// A server works on at least one attempt at a time, so a warm one can serve at least the window divided by its
+	// service time, for all gateways together.
+	if g.allCold && g.coldServiceTime.weight > 0 {
 		one := g.cfg.SlowStartWindow.Seconds() * g.coldServiceTime.weight / math.Max(g.coldServiceTime.sum, minLatency)
 		g.warmThroughput = math.Max(g.warmThroughput, one/float64(g.cfg.Gateways))
 	}
--- a/policy/peers.go
+++ b/policy/peers.go
@@ -151,8 +151,8 @@
 	g.pendingUpdates = slices.DeleteFunc(g.pendingUpdates, func(c *customer) bool { return c.pendingPeers == 0 })
 }
 
-// sendUpdate sends an update to the first of the peers if there is anything to send. The other peers come later in this
-// round; push-sum leaves them their parts.
+// sendUpdate sends an update to the first of the peers if there is anything to send. The others are sent their
+// updates later in this round; the push-sum masses are split so that a part is left for each of them.
 func (g *Gateway) sendUpdate(peers []int) {
 	to := peers[0]
 	out := update{age: g.now - g.startedAt, olderPeer: g.olderPeerKnown}
--- a/policy/records.go
+++ b/policy/records.go
@@ -143,7 +143,7 @@
 	generation  byte // of the peer's record
 	used        float64
 	inFlight    byte    // attempts and queued requests at the peer
-	deficit     byte    // of its share of the hard limit, from ratelimit.BucketShare.Receive; 0 once a grant was sent
+	deficit     byte    // of its share of the hard limit, from ratelimit.BucketShare.Receive; 0 once it was sent an entry
 	ownUsedSent float64 // customer.used as last sent to the peer
 }
 
--- a/policy/report.go
+++ b/policy/report.go
@@ -3,7 +3,7 @@
 // Statistics and observations that a gateway reports.
 
 // OwnLoads returns the load that this gateway puts on each server, and how its latest attempts there ended. Servers
-// without attempts in flight and without failures to report are omitted.
+// without attempts that occupy slots and without failures to report are omitted.
 func (g *Gateway) OwnLoads(now Time) map[ServerID]OwnLoad {
 	g.advance(now)
 	loads := map[ServerID]OwnLoad{}
--- a/policy/state_transfer.go
+++ b/policy/state_transfer.go
@@ -25,9 +25,9 @@
 	minCustomerBytes = 100
 )
 
-// ErrState is returned for state that can't be imported because it can't be read, belongs to another gateway, or is
-// imported after the first event.
-var ErrState = errors.New("policy: state is unreadable, of another gateway, or imported after the first event")
+// ErrState is returned for state that can't be imported because it is invalid or inconsistent, is of another gateway or
+// number of gateways, or is imported after the first event.
+var ErrState = errors.New("policy: state invalid or inconsistent, of other gateways, or imported after the first event")
 
 // stateCodec writes or reads fields. Once a field was invalid, the values read must not be used.
 type stateCodec struct {
