--- a/coord/membership/datagram/runner.go
+++ b/coord/membership/datagram/runner.go
@@ -97,8 +97,8 @@
 	return r.members.Load()
 }
 
-// Isolated reports whether this machine has received nothing for so long that the others have declared it dead
-// or are partitioned from it.
+// Isolated reports whether this machine has received nothing for so long that the others should have declared it
+// dead, or are partitioned from it.
 func (r *Runner) Isolated() bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
--- a/coord/membership/node.go
+++ b/coord/membership/node.go
@@ -87,8 +87,8 @@
 	return n.health.score
 }
 
-// Isolated reports whether this machine has received nothing for so long that the others have declared it
-// dead or are partitioned from it. A machine that knows no other present machine is not isolated.
+// Isolated reports whether this machine has received nothing for so long that the others should have
+// declared it dead, or are partitioned from it. A machine that knows no other present machine is not isolated.
 func (n *Node) Isolated(now time.Time) bool {
 	limit := n.config.HeartbeatTimeout + n.config.ConfirmationTimeout + n.config.SuspicionTimeout
 	return len(n.table.entries)-len(n.table.departed) > 1 && now.Sub(n.lastContact) > limit
--- a/coord/replica/messages.go
+++ b/coord/replica/messages.go
@@ -45,7 +45,7 @@
 	End    uint64 // last command on the sender's disk
 	Commit uint64 // last command known to be on all disks of the chain
 	Whole  bool   // the sender and all its predecessors have the complete prefix
-	Gap    bool   // the sender lacks the commands after End and has received later ones
+	Gap    bool   // the sender has received an Append whose Prev is beyond its log
 }
 
 // AckRequest asks the successor for an Ack, because the Ack that the successor sends at the start of an epoch is
--- a/coord/replica/replication.go
+++ b/coord/replica/replication.go
@@ -169,7 +169,7 @@
 }
 
 // sendAck reports this member's durable index and commit index to the predecessor. gap means that this member has
-// received an Append whose entries don't follow its log.
+// received an Append whose Prev is beyond its log.
 func (c *core) sendAck(gap bool) {
 	predecessor, _ := c.acceptor.View.Adjacent(c.self)
 	c.replication.ackDue = false
@@ -194,7 +194,8 @@
 	if m.Epoch != c.epoch() || !successor.Same(from) || c.syncedEpoch != c.epoch() {
 		return
 	}
-	c.invariant(m.End <= c.log.LastIndex(), "successor's log ends at %d, own log at %d", m.End, c.log.LastIndex())
+	c.invariant(m.End <= c.log.LastIndex(),
+		"successor's disk holds entries to %d, own log ends at %d", m.End, c.log.LastIndex())
 	c.invariant(m.Commit <= c.log.LastIndex(), "successor committed to %d, log ends at %d", m.Commit, c.log.LastIndex())
 	c.replication.ackedIndex = max(c.replication.ackedIndex, m.End)
 	if !c.replication.successorKnown || m.Gap || c.replication.sentIndex < c.replication.ackedIndex {
--- a/coord/transport/client.go
+++ b/coord/transport/client.go
@@ -134,7 +134,7 @@
 	}
 }
 
-// errDial marks the errors of attempts that failed before a connection was established.
+// errDial marks the errors of attempts that failed before the handshake completed.
 var errDial = errors.New("no connection")
 
 // dialAndServe dials once and serves the connection until it ends. It returns why it ended.
@@ -147,7 +147,8 @@
 	c.remote.Store(&remote)
 	c.current.Store(current)
 	if c.ctx.Err() != nil {
-		// Close was called during the dial and may have found no current connection.
+		// Close was called since the start of the dial. If it loaded current before the Store above, it found no
+		// connection to close.
 		current.close()
 	}
 	c.options.Log("connected", nil, c.address)
--- a/coord/transport/doc.go
+++ b/coord/transport/doc.go
@@ -65,7 +65,7 @@
 // length and bytes), and the gob encoding of the value. Each direction has one gob encoder and one decoder, so
 // that descriptions and names of types are sent once. A frame longer than Options.MaxFrame is rejected by its
 // length. Memory for a payload is allocated as the payload arrives, and not by its claimed length. All pending
-// frames are written with one system call.
+// frames are written together, in writes of up to 256 KiB.
 //
 // # Limits
 //
--- a/coord/transport/frame.go
+++ b/coord/transport/frame.go
@@ -22,8 +22,8 @@
 	frameResetBit = 0x80
 	// frameHeaderSize is the size in bytes of length, kind and call number.
 	frameHeaderSize = 4 + 1 + 4
-	// readChunk bounds the memory in bytes that is allocated for a payload ahead of the bytes that have
-	// arrived, whatever length the frame claims.
+	// readChunk bounds the memory in bytes that a frame takes by its claimed length alone: the buffer of a payload
+	// is enlarged to at most 2*readChunk beyond the bytes that have arrived.
 	readChunk = 256 << 10
 )
 
--- a/coord/view/doc.go
+++ b/coord/view/doc.go
@@ -66,8 +66,8 @@
 // lost, and no later proposer can find case A for x: x is the only term of the next view. Otherwise the older
 // terms stay in Terms. Perhaps only the source of x was ever synced in x; if its disk is lost, another member
 // of the chain of x leads to case A, and the logs that were synced in the next older term are used again. The
-// oldest term is never dropped. This covers a source that fails before the others have its prefix, and members
-// that learn of a decision late.
+// oldest term is used even if case A applies to it. This covers a source that fails before the others have its
+// prefix, and members that learn of a decision late.
 //
 // The source has answered a prepare of epoch e, so its log doesn't change until it adopts e+1: it is then still
 // the log that the proposer examined, even if another proposer completes the decision. A member that copies the
