--- a/internal/batch/replica/claims.go
+++ b/internal/batch/replica/claims.go
@@ -272,9 +272,12 @@
 	}
 }
 
-// countersToUpdate lists the counters to which a claim is due: those that have not answered within claimRetry, those
-// for which a submission waits, and those that reserve another number of tokens for this store than it uses. A claim
-// for more tokens is due at once, a claim for fewer after decreaseInterval.
+// countersToUpdate lists the counters to which a claim is due:
+//   - those that have not answered within claimRetry,
+//   - those for whose confirmation a submission waits, if no claim was sent yet or the newest is claimRetry old,
+//   - those of accounts with a known limit, if the counter reserves another number of tokens for this store than it
+//     uses, or the newest claim is outdated. The claim is due at once if it is the first, is for more tokens or
+//     replaces an outdated one, and otherwise once the newest claim is decreaseInterval old.
 func (m *StateMachine) countersToUpdate(now time.Duration) []placement.Key {
 	if !m.reconciled {
 		return nil
--- a/internal/batch/replica/environment.go
+++ b/internal/batch/replica/environment.go
@@ -30,7 +30,7 @@
 	Start(id string)
 	// Stop withdraws the permission to run the batch job's items.
 	Stop(id string)
-	// FreeBytes returns the number of free bytes on the disk.
+	// FreeBytes returns the number of bytes by which the log may still grow, 0 while the disk is full.
 	FreeBytes() int64
 	// QueueLimit returns the number of tokens of one tenant that may be queued on a route, 0 for no limit. known is
 	// false while the configuration doesn't have the route yet.
--- a/internal/batch/replica/finding.go
+++ b/internal/batch/replica/finding.go
@@ -61,6 +61,6 @@
 	}
 }
 
-// corruptsJob reports whether the finding makes the batch job's copy corrupt. A lost progress record doesn't, as events
-// of unfinished items may be missing.
+// corruptsJob reports whether the finding makes the batch job's copy corrupt. An unusable progress record doesn't, as a
+// copy is complete without the events of unfinished items.
 func (f *Finding) corruptsJob() bool { return f.Kind != recordProgress }
--- a/internal/batch/replica/recovery.go
+++ b/internal/batch/replica/recovery.go
@@ -36,8 +36,8 @@
 	return finding
 }
 
-// Corruption returns the number of findings in the log since the start of the process, and the number of batch jobs
-// whose copies are still corrupt.
+// Corruption returns the number of findings in the log that was replayed at the start of the process, and the number
+// of batch jobs whose copies are still corrupt.
 func (m *StateMachine) Corruption() (findings, corrupt int) {
 	for _, j := range m.jobsInOrder {
 		if j.corrupt {
--- a/internal/batch/replica/reservation.go
+++ b/internal/batch/replica/reservation.go
@@ -56,8 +56,9 @@
 	return answer
 }
 
-// handleReservationRequest answers with this store's vote, if this store is certain which store holds the batch job
-// or that none does.
+// handleReservationRequest answers with this store's vote, if this store is reconciled and may act, and either knows a
+// store that holds the batch job or has a reservation for it, or too few stores have departed to have held all copies
+// of a batch job.
 func (m *StateMachine) handleReservationRequest(from protocol.Process, message ReservationRequest) {
 	if !m.reconciled || !m.MayAct() {
 		return
--- a/internal/batch/replica/statemachine.go
+++ b/internal/batch/replica/statemachine.go
@@ -20,7 +20,7 @@
 	// Retention is how long a batch job is kept, counted from its first submission by the time of day. A longer
 	// Retention lets clients read results later and takes more disk space.
 	Retention    time.Duration
-	MinFreeBytes int64 // bytes of disk space that must stay free when a batch job is accepted
+	MinFreeBytes int64 // a batch job is accepted only if Environment.FreeBytes less its size exceeds this
 	MaxJobs      int   // maximum number of stored batch jobs, 0 for no limit
 }
 
--- a/internal/batch/server/open.go
+++ b/internal/batch/server/open.go
@@ -13,9 +13,10 @@
 // openRetryInterval is the time between attempts to open a disk that returns errors.
 const openRetryInterval = time.Second
 
-// Open calls New until it succeeds or the context ends. A disk that can't be read at all is left unchanged, and
-// opening it is retried; meanwhile the process doesn't take part in the system, and the other stores replace its
-// replicas. Open returns the context's error if the context ends, and returns at once if data-dir is missing.
+// Open calls New until it succeeds, or returns the context's error once the context ends. It doesn't retry if
+// data-dir is missing in the settings, but returns errNoDataDir at once. A disk that can't be read at all is left
+// unchanged, and opening it is retried; meanwhile the process doesn't take part in the system, and the other stores
+// replace its replicas.
 func Open(ctx context.Context, settings *node.Settings, log zerolog.Logger) (*Server, error) {
 	return openWithRetry(ctx, settings, log, waitToRetry)
 }
--- a/internal/batch/wal/recovery.go
+++ b/internal/batch/wal/recovery.go
@@ -67,9 +67,9 @@
 	return files, nil
 }
 
-// loadSegment replays a segment, truncates a torn tail, so that its records can't be replayed by a later start, and
-// syncs the file, because the replayed records may have been written by a process that was killed before it synced
-// them.
+// loadSegment replays a segment, truncates an unreadable tail of the last segment that has no marker after it, so that
+// its records can't be replayed by a later start, and syncs the file, because the replayed records may have been
+// written by a process that was killed before it synced them.
 func (l *Log) loadSegment(found segmentFile, last bool, replay ReplayFunc, options *Options) error {
 	file, err := l.fs.Open(segmentName(found.number))
 	if err != nil {
