--- a/internal/gateway/admission/admission.go
+++ b/internal/gateway/admission/admission.go
@@ -40,7 +40,8 @@
 	retryShedThreshold = 0.3                    // share shed of other requests below which no retry is shed
 	minRetryAfter      = 600 * time.Millisecond // shortest Retry-After of a rejection
 	maxRetryAfter      = 1500 * time.Millisecond
-	retryAfterShare    = 0.3 // longest Retry-After as a share of the time left: clients honor up to a third of that
+	// Longest Retry-After as a share of the time left: clients honor a Retry-After of up to a third of the time left.
+	retryAfterShare = 0.3
 )
 
 // Reason is why a request was rejected.
--- a/internal/gateway/batchproxy/submit.go
+++ b/internal/gateway/batchproxy/submit.go
@@ -55,8 +55,10 @@
 	return rejection(call, s.uncertain)
 }
 
-// run sends the submission to one store after another until one gives a final answer, none is left or ctx ends.
-// It reports whether there is a final answer.
+// run sends the submission to one store, and to the next one, if any, after an attempt without an answer, after an
+// answer without a status (see protocol.BatchAnswer) and whenever hedgeAfter has passed. After 503, 429 or 504 it
+// asks no further store, except by the hedge timer while another attempt is pending. It ends when there is a final
+// answer, when no attempt is pending or when ctx ends, and reports whether there is a final answer.
 func (s *submission) run(ctx context.Context) (protocol.BatchAnswer, bool) {
 	s.next()
 	hedge := time.NewTimer(hedgeAfter)
--- a/internal/gateway/outcomes/outcomes.go
+++ b/internal/gateway/outcomes/outcomes.go
@@ -19,7 +19,7 @@
 // delay. Truncated is counted in addition, because the beginning of the response has been counted already.
 const (
 	InTime           Outcome = "in_time"
-	LateRetried      Outcome = "late_retried"     // earlier attempts took the time until the target
+	LateRetried      Outcome = "late_retried"     // there were earlier attempts
 	LateQueued       Outcome = "late_queued"      // its server had a request in every slot, or others waiting
 	LatePrefill      Outcome = "late_reading"     // its server took long to read the prompt
 	LateServer       Outcome = "late_server"      // its server was slow, for no known reason
--- a/internal/gateway/proxy/batch.go
+++ b/internal/gateway/proxy/batch.go
@@ -27,7 +27,8 @@
 var removedRoute = &configuration.Route{Type: configuration.RouteBatch}
 
 // resolveBatch finds the route of a call for an existing batch job. The path of such a call names no route, so
-// the first of the host's batch routes is used, or removedRoute if there is none.
+// the first of the host's batch routes is used. If there is none, removedRoute is used if the member list is known
+// and has stores; otherwise the route stays nil, and the request gets 404.
 func (q *request) resolveBatch(path string) {
 	operation := batchOperation(q.r.Method, path)
 	if operation == 0 {
--- a/internal/gateway/proxy/request.go
+++ b/internal/gateway/proxy/request.go
@@ -50,7 +50,7 @@
 	headerLines []byte // the headers that are forwarded unchanged, in wire format
 
 	history retry.History
-	tried   []policy.ServerID // servers that the request was sent to, in order of the attempts
+	tried   []policy.ServerID // servers of the attempts, in order, including attempts whose request was not sent
 	sentAt  time.Time         // when the latest attempt was sent
 	counted bool              // the outcome has been counted
 
--- a/internal/gateway/proxy/validation.go
+++ b/internal/gateway/proxy/validation.go
@@ -17,8 +17,9 @@
 	maxResponseHeads = 2
 )
 
-// errMismatchedID reports that a server sent no response with the request's id.
-var errMismatchedID = errors.New("proxy: no response has the request's X-Request-Id as its only one")
+// errMismatchedID reports that none of the responses read has the request's id as its only one: each has another
+// id, several ids or none.
+var errMismatchedID = errors.New("proxy: none of the responses read has exactly this request's X-Request-Id")
 
 // readResponseHead reads the head of the response to this request. A response with another id is a late
 // response to an earlier request on the connection; it is skipped together with its body.
--- a/internal/gateway/serverselection/selector.go
+++ b/internal/gateway/serverselection/selector.go
@@ -57,7 +57,7 @@
 type Criteria struct {
 	Workload    Workload
 	Servers     []*endpoints.Server // of the request's backend
-	Exclude     []policy.ServerID   // servers to which the request was sent before
+	Exclude     []policy.ServerID   // servers of earlier attempts, including attempts whose request was not sent
 	MaxInFlight int                 // most requests of this gateway at one server; 0: no limit
 }
 
--- a/internal/quota/grantee_registry.go
+++ b/internal/quota/grantee_registry.go
@@ -19,7 +19,7 @@
 	lastContact   map[string]time.Duration // by recorded node; initially the start of the term or the time of recording
 	missing       []string                 // nodes that send requests and aren't recorded
 	unreconciled  map[string]bool          // nodes recorded at the start of the term that aren't reconciled yet
-	allReconciled bool                     // unreconciled is empty
+	allReconciled bool                     // unreconciled is empty; always false if not enabled
 	nextScanAt    time.Duration            // when EvictGrantees scans lastContact again
 }
 
