--- a/internal/control/confirmation.go
+++ b/internal/control/confirmation.go
@@ -26,8 +26,9 @@
 func (c *Control) mayGrantLeases() bool { return c.replica.View().InChain(c.replica.Self()) }
 
 // storeGrant returns a batch process's membership and lease. A lease is granted only if this process can confirm
-// the membership (fresh), and is shortened by the age of the proof: StoreLease after a suspicion was acknowledged,
-// the suspected member has no lease left.
+// the membership (fresh). It is shortened by age, the staleness bound of this process's state: a suspicion that isn't
+// applied here yet was acknowledged at most age ago, so a lease granted without knowing it also ends within StoreLease
+// after its acknowledgement.
 func (c *Control) storeGrant(process protocol.Process, fresh bool, age time.Duration) *protocol.StoreGrant {
 	view := c.state.Stores()
 	grant := &protocol.StoreGrant{Epoch: view.Epoch}
--- a/internal/control/discovery/reader.go
+++ b/internal/control/discovery/reader.go
@@ -52,8 +52,8 @@
 		DialContext: func(ctx context.Context, _, address string) (net.Conn, error) { return dial(ctx, address) }}
 }
 
-// RateLimitError reports that the platform answered 429. RetryAfter is the response's Retry-After; 0 if there was
-// none.
+// RateLimitError reports that the platform answered 429. RetryAfter is the response's Retry-After, at most
+// maxRetryDelay; 0 if the header is missing or isn't a positive number of seconds.
 type RateLimitError struct {
 	RetryAfter time.Duration
 }
--- a/internal/control/liveness/table.go
+++ b/internal/control/liveness/table.go
@@ -98,8 +98,8 @@
 	return contact, known && contact.Process == process
 }
 
-// ReportReceived records when a report of another control process was received. It is called after the whole
-// report was processed.
+// ReportReceived records when another control process's report of its pollers was received. It is called after
+// Observe has been called for all pollers in the report.
 func (t *Table) ReportReceived(address string, at time.Duration) {
 	t.reportsAt[address] = max(at, t.reportsAt[address])
 }
--- a/internal/daemon/discovery/backoff.go
+++ b/internal/daemon/discovery/backoff.go
@@ -71,8 +71,8 @@
 
 // afterRejection returns the pause after a call that was rejected after the duration took. The pause is random, up to
 // the step, which is at least twice took unless retryWithin limits it, and ends in time for maxRejectedGap. If the step
-// is longer than the time left until then, the pause is drawn from the later part of that time, at the least from its
-// last quarter.
+// is longer than the time left until then, the lower end of the draw rises with the step, to at most three quarters of
+// the time left.
 func (b *Backoff) afterRejection(took time.Duration) time.Duration {
 	step := min(max(b.rejectedStep, 2*took), b.retryWithin)
 	b.rejectedStep = min(2*step, b.retryWithin)
--- a/internal/daemon/discovery/watch.go
+++ b/internal/daemon/discovery/watch.go
@@ -19,8 +19,8 @@
 //	rejected:                    a pause of 5 s (maxRejectedGap) less the time since the last answer, at least 1 s
 //	timed out and then rejected: 3.9 s, and a pause of 1.1 s
 //
-// This leaves 1 s for the answer. Calls have no shorter timeout, because a source may be busy: the work for a call that
-// waits in its queue and is then abandoned is wasted.
+// This leaves 1 s for the answer. A call isn't abandoned after that second, but only at its own timeout: the work of a
+// busy source for a call that waits in its queue and is then abandoned is wasted.
 const (
 	updateDeadline = 6 * time.Second
 	longPollWait   = 2500 * time.Millisecond // time after which the source answers that nothing has changed
--- a/internal/emulator/gateway.go
+++ b/internal/emulator/gateway.go
@@ -333,14 +333,14 @@
 }
 
 // recordAnswer records a request's final answer: served, refused or failed.
-func (g *gateway) recordAnswer(l *pendingRequest, recordAnswer string) {
+func (g *gateway) recordAnswer(l *pendingRequest, outcome string) {
 	if l.request.Lost { // its client no longer waits for an answer
 		l.request.Final = true
 		return
 	}
-	g.run.checker.Answered(g.run.engine.now, &l.request.Request, recordAnswer)
-	g.run.record('f', uint64(l.request.ID), uint64(recordAnswer[0]))
-	switch recordAnswer {
+	g.run.checker.Answered(g.run.engine.now, &l.request.Request, outcome)
+	g.run.record('f', uint64(l.request.ID), uint64(outcome[0]))
+	switch outcome {
 	case "served":
 		g.run.Served++
 		first, target := l.request.original, g.run.Settings.Classes[l.request.Class].LatencyTarget
--- a/internal/emulator/rules.go
+++ b/internal/emulator/rules.go
@@ -13,7 +13,7 @@
 type request struct {
 	referee.Request
 	arrivedAt   Time
-	original    *request // the request that this one repeats; itself where it isn't a repeat
+	original    *request // the client's original request, which its repeats belong to; the request itself for an original
 	retriesLeft int      // repeats that the client may still make
 	inTime      bool
 	actualUnits float64 // units that the request draws; Units is the estimate
--- a/internal/node/parse.go
+++ b/internal/node/parse.go
@@ -204,7 +204,9 @@
 	return value
 }
 
-// nonNegative parses a number of 0 or more. NaN and numbers of 1e15 or more are invalid.
+// nonNegative parses a number of 0 or more. NaN is invalid, and so are numbers of 1e15 or more, because they are too
+// large for a duration in seconds. That bound is far above the about 9.2e9 s that a time.Duration holds: the check
+// doesn't find durations between the two.
 func (p *fileParser) nonNegative(key string, defaultValue float64) float64 {
 	text := p.text(key, false)
 	if text == "" {
